--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -60,8 +60,8 @@
   CompactToken token;
 };
 
-Item serverItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
-  ServerRecord record;
+Item serverItem(std::uint32_t number, Revision revision, BackendState state = BackendState::Ready) {
+  BackendRecord record;
   record.server_id = 0x9e3779b97f4a7c15ULL * (number + 1);
   record.service = number % 5 == 0 ? "imagenes" : "catalogo";
   record.address = Endpoint{0x0b000000 + number, 9000};
@@ -157,7 +157,7 @@
     const auto number = static_cast<std::uint32_t>(revision % servers);
     const bool drains = revision % 2 == 0;
     harness.takeChange(
-        serverItem(number, revision, drains ? ServerState::Draining : ServerState::Ready));
+        serverItem(number, revision, drains ? BackendState::Draining : BackendState::Ready));
   }
 }
 BENCHMARK(measureServerChange)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -109,7 +109,7 @@
 }
 
 void PacketNode::start() {
-  registry_.setLogsServers(false);
+  registry_.setLogsBackends(false);
   follower_.start();
   scheduleCleanup();
   scheduleComparison();
@@ -205,7 +205,7 @@
 }
 
 void PacketNode::onComplete(ViewOrigin origin) {
-  registry_.setLogsServers(true);
+  registry_.setLogsBackends(true);
   logFirstView(origin);
   apply();
 }
@@ -260,8 +260,8 @@
     onUnreadable(item, decoded.error());
     return;
   }
-  if (const auto* server = std::get_if<ServerRecord>(&decoded.value())) {
-    registry_.onServer(item.key, *server, item.revision, item.created);
+  if (const auto* server = std::get_if<BackendRecord>(&decoded.value())) {
+    registry_.onBackend(item.key, *server, item.revision, item.created);
   } else if (auto* table = std::get_if<RouteTable>(&decoded.value())) {
     registry_.onRoutes(std::move(*table), item.revision);
   } else if (const auto* zone = std::get_if<ZoneOutOfService>(&decoded.value())) {
@@ -276,7 +276,7 @@
   ++counters_.records_invalid[is_counted_apart ? problem.text : "other"];
   log_.write(LogLevel::Error, "discovery", "record_invalid",
              {{"key", item.key}, {"revision", item.revision}, {"problem", problem.text}});
-  registry_.onServerUnreadable(item.key, item.revision);
+  registry_.onBackendUnreadable(item.key, item.revision);
 }
 
 void PacketNode::onDeletion(const Item& item) {
@@ -284,10 +284,10 @@
     return;
   }
   if (backendsAreSettled()) {
-    registry_.onServerGone(item.key, item.revision);
+    registry_.onBackendDeleted(item.key, item.revision);
     return;
   }
-  registry_.onServerMissing(item.key, item.revision);
+  registry_.onBackendMissing(item.key, item.revision);
   scheduleRetirement();
 }
 
@@ -326,7 +326,7 @@
 }
 
 std::uint64_t PacketNode::updateConfiguration() {
-  const std::uint64_t routes_before = registry_.counters().routes_made;
+  const std::uint64_t routes_before = registry_.counters().routes_built;
   const ConfigurationChanges changes = registry_.updateConfiguration();
   forgetEarlierRuns(changes.restarted);
   // Before placement takes new servers in: it asks whether their zones can be reached.
@@ -342,7 +342,7 @@
   if (!changes.removed.empty()) {
     forgetRemoved();
   }
-  return changes.backends.size() + changes.removed.size() + registry_.counters().routes_made -
+  return changes.backends.size() + changes.removed.size() + registry_.counters().routes_built -
          routes_before;
 }
 
@@ -397,7 +397,7 @@
 
 void PacketNode::scheduleCleanup() {
   scheduler_.callAfter(kCleanupInterval, [this] {
-    if (registry_.forgetRetired()) {
+    if (registry_.pruneRetired()) {
       applySoon();
     }
     scheduleCleanup();
--- a/src/discovery/backend_registry.cc
+++ b/src/discovery/backend_registry.cc
@@ -17,8 +17,8 @@
 /** Servers in a line of a snapshot: about a kilobyte. */
 constexpr std::size_t kServersInLine = 40;
 
-const char* nameOf(ServerState state) {
-  return state == ServerState::Ready ? "ready" : "draining";
+const char* nameOf(BackendState state) {
+  return state == BackendState::Ready ? "ready" : "draining";
 }
 
 std::string stateText(const std::string& name, const char* state) {
@@ -52,8 +52,8 @@
 BackendRegistry::BackendRegistry(Duration retired_for, const TimeSource& time_source, EventLog& log)
     : retired_for_(retired_for), time_source_(time_source), log_(log) {}
 
-void BackendRegistry::onServer(const std::string& key, const ServerRecord& record,
-                               Revision revision, Revision created) {
+void BackendRegistry::onBackend(const std::string& key, const BackendRecord& record,
+                                Revision revision, Revision created) {
   // A first view comes in the order of the keys: appending spares the search in the map.
   const bool comes_last = servers_.empty() || std::prev(servers_.end())->first < key;
   Server& server = comes_last ? servers_.try_emplace(servers_.end(), key)->second : servers_[key];
@@ -102,11 +102,11 @@
   }
 }
 
-bool BackendRegistry::isOfEarlierRun(const Server& server, const ServerRecord& record) const {
+bool BackendRegistry::isOfEarlierRun(const Server& server, const BackendRecord& record) const {
   return record.started_ms != 0 && record.started_ms < server.record.started_ms;
 }
 
-void BackendRegistry::noteRestart(const Server& server, const ServerRecord& record,
+void BackendRegistry::noteRestart(const Server& server, const BackendRecord& record,
                                   Revision revision) {
   const std::uint64_t started_before = server.record.started_ms;
   if (started_before == 0 || record.started_ms <= started_before) {
@@ -121,7 +121,7 @@
               {"revision", revision}});
 }
 
-void BackendRegistry::onServerUnreadable(const std::string& key, Revision revision) {
+void BackendRegistry::onBackendUnreadable(const std::string& key, Revision revision) {
   const auto found = servers_.find(key);
   if (found == servers_.end() || found->second.retired) {
     return;
@@ -130,7 +130,7 @@
   retire(found->second, revision, "unreadable");
 }
 
-void BackendRegistry::onServerGone(const std::string& key, Revision revision) {
+void BackendRegistry::onBackendDeleted(const std::string& key, Revision revision) {
   const auto found = servers_.find(key);
   if (found == servers_.end() || found->second.retired) {
     return;
@@ -139,7 +139,7 @@
   retire(found->second, revision);
 }
 
-void BackendRegistry::onServerMissing(const std::string& key, Revision revision) {
+void BackendRegistry::onBackendMissing(const std::string& key, Revision revision) {
   const auto found = servers_.find(key);
   if (found == servers_.end() || found->second.retired) {
     return;
@@ -265,8 +265,8 @@
     named_services_.insert(service.service);
   }
   for (const RouteRecord& route : routes_.routes) {
-    for (const RouteShare& share : route.shares) {
-      named_services_.insert(share.service);
+    for (const WeightedService& target : route.services) {
+      named_services_.insert(target.service);
     }
   }
   if (named_services_.size() != known_before) {
@@ -306,7 +306,7 @@
   for (const auto& [key, server] : servers_) {
     if (server.retired) {
       ++summary.retired;
-    } else if (server.record.state == ServerState::Draining) {
+    } else if (server.record.state == BackendState::Draining) {
       ++summary.draining;
     } else {
       ++summary.ready;
@@ -350,7 +350,7 @@
   }
 }
 
-bool BackendRegistry::forgetRetired() {
+bool BackendRegistry::pruneRetired() {
   const MonotonicTime now = time_source_.monotonicTime();
   const auto is_over = [&](const auto& entry) {
     const auto& [key, server] = entry;
@@ -415,7 +415,7 @@
   std::vector<Service> services;
   for (const auto& [name, id] : service_ids_) {
     services.push_back({id, name, Endpoint(), in_service});
-    ++counters_.services_made;
+    ++counters_.services_built;
   }
   configuration_->setServices(std::move(zones), std::move(services));
 }
@@ -480,8 +480,8 @@
 }
 
 Backend BackendRegistry::makeBackend(const Server& server) {
-  ++counters_.backends_made;
-  const ServerRecord& record = server.record;
+  ++counters_.backends_built;
+  const BackendRecord& record = server.record;
   Backend backend;
   backend.id = server.id;
   backend.name = record.name;
@@ -490,7 +490,7 @@
   backend.address = record.address;
   backend.slots = std::max(record.slots, 1U);
   backend.connections = 1;
-  backend.draining = record.state == ServerState::Draining;
+  backend.draining = record.state == BackendState::Draining;
   backend.retired = server.retired;
   backend.server_id = record.server_id;
   if (record.warmup_left_ms > 0) {
@@ -508,14 +508,14 @@
 }
 
 Route BackendRegistry::makeRoute(const RouteRecord& record) {
-  ++counters_.routes_made;
+  ++counters_.routes_built;
   Route route;
   route.address = record.address;
   route.bulk = record.bulk;
   route.request_class = {record.priority, milliseconds(record.target_ms),
                          milliseconds(record.timeout_ms)};
-  for (const RouteShare& share : record.shares) {
-    route.targets.push_back({serviceIdOf(share.service), share.weight});
+  for (const WeightedService& target : record.services) {
+    route.targets.push_back({serviceIdOf(target.service), target.weight});
   }
   return route;
 }
--- a/src/discovery/backend_registry.h
+++ b/src/discovery/backend_registry.h
@@ -16,9 +16,9 @@
 /** Work that a BackendRegistry has done on its configuration. */
 struct BackendRegistryCounters {
   std::uint64_t updates = 0;
-  std::uint64_t backends_made = 0;
-  std::uint64_t routes_made = 0;
-  std::uint64_t services_made = 0;
+  std::uint64_t backends_built = 0;
+  std::uint64_t routes_built = 0;
+  std::uint64_t services_built = 0;
 };
 
 /**
@@ -35,23 +35,23 @@
    * Takes a server's newest record. A later start under a known key begins another run: what was
    * seen of the server holds no longer. An earlier one is a write that came late, and is ignored.
    */
-  void onServer(const std::string& key, const ServerRecord& record, Revision revision,
-                Revision created);
+  void onBackend(const std::string& key, const BackendRecord& record, Revision revision,
+                 Revision created);
 
   /** The server's record is gone from the platform. */
-  void onServerGone(const std::string& key, Revision revision);
+  void onBackendDeleted(const std::string& key, Revision revision);
 
   /**
    * The server's record can't be used, so that it names no server: the one that it named before
    * keeps its open flows and gets nothing new until a record can be used again.
    */
-  void onServerUnreadable(const std::string& key, Revision revision);
+  void onBackendUnreadable(const std::string& key, Revision revision);
 
   /**
    * The server's record has vanished, perhaps only because the platform was away: the server goes
    * on as it is until it is written again, found gone, or retireMissing().
    */
-  void onServerMissing(const std::string& key, Revision revision);
+  void onBackendMissing(const std::string& key, Revision revision);
 
   /** Takes servers that are still missing for gone. @return true if the configuration changes. */
   bool retireMissing();
@@ -72,7 +72,7 @@
    * While a first view is taken in, servers are not logged one by one; summary() and
    * snapshotLines() tell them all.
    */
-  void setLogsServers(bool logs) { logs_servers_ = logs; }
+  void setLogsBackends(bool logs) { logs_servers_ = logs; }
 
   /** Until endBatch() the states that change are collected, and not logged one by one. */
   void beginBatch() { is_batch_ = true; }
@@ -103,7 +103,7 @@
   std::uint64_t routesVersion() const { return routes_.version; }
 
   /** Forgets servers that have been gone for long. @return true if the configuration changes. */
-  bool forgetRetired();
+  bool pruneRetired();
 
   /**
    * Brings the configuration up to date with all that is known. It counts as a new version each
@@ -119,7 +119,7 @@
 
  private:
   struct Server {
-    ServerRecord record;
+    BackendRecord record;
     BackendId id;
     Revision revision = 0;
     Revision created = 0;
@@ -137,8 +137,8 @@
   void retireMissingAt(Endpoint address);
   void retire(Server& server, Revision revision, const char* state = "retired");
   /** @return true where the record is of an earlier run than the one that is known. */
-  bool isOfEarlierRun(const Server& server, const ServerRecord& record) const;
-  void noteRestart(const Server& server, const ServerRecord& record, Revision revision);
+  bool isOfEarlierRun(const Server& server, const BackendRecord& record) const;
+  void noteRestart(const Server& server, const BackendRecord& record, Revision revision);
   void nameServices();
   /** @return true where the state is collected for the batch's lists. */
   bool collectState(const Server& server, const char* state, Revision revision);
--- a/src/discovery/platform_records.h
+++ b/src/discovery/platform_records.h
@@ -12,10 +12,10 @@
 namespace lugfork {
 
 /** What a server says of itself. */
-enum class ServerState : std::uint8_t { Ready, Draining, Last = Draining };
+enum class BackendState : std::uint8_t { Ready, Draining, Last = Draining };
 
 /** A running server, as it announces itself. */
-struct ServerRecord {
+struct BackendRecord {
   /** Its id on the platform; a server may start again under the same one. */
   std::uint64_t server_id = 0;
   /**
@@ -30,7 +30,7 @@
   std::string zone;
   /** Requests that it works on at a time. */
   std::uint32_t slots = 1;
-  ServerState state = ServerState::Ready;
+  BackendState state = BackendState::Ready;
   /** Time for which it is still slow after its start [ms]. */
   std::uint32_t warmup_left_ms = 0;
   /** The name is the end of the item's key; the start goes beside the record (record_codec.h). */
@@ -40,7 +40,7 @@
 };
 
 /** Service that takes a share of a route's new flows. */
-struct RouteShare {
+struct WeightedService {
   std::string service;
   std::uint32_t weight = 1;
   auto fields() { return std::tie(service, weight); }
@@ -48,7 +48,7 @@
 
 struct RouteRecord {
   Endpoint address;
-  std::vector<RouteShare> shares;
+  std::vector<WeightedService> services;
   /** Callers send large requests. */
   bool bulk = false;
   /** 0 is the most urgent. */
@@ -58,8 +58,8 @@
   /** Time after which the caller has given up [ms]; 0 where that is not told. */
   std::uint32_t timeout_ms = 0;
   /** Balancers from before the last three fields wrote the others only. */
-  static constexpr std::size_t kFieldsAlwaysThere = 3;
-  auto fields() { return std::tie(address, shares, bulk, priority, target_ms, timeout_ms); }
+  static constexpr std::size_t kRequiredFieldCount = 3;
+  auto fields() { return std::tie(address, services, bulk, priority, target_ms, timeout_ms); }
 };
 
 /** A service that the configuration names, and what its servers bear while they are cold. */
@@ -103,7 +103,7 @@
   auto fields() { return std::tie(text); }
 };
 
-using PlatformRecord = std::variant<IrrelevantItem, ServerRecord, RouteTable, ZoneOutOfService>;
+using PlatformRecord = std::variant<IrrelevantItem, BackendRecord, RouteTable, ZoneOutOfService>;
 
 /**
  * Reads the values of items. Each platform's adapter has one for what the platform writes; within
--- a/src/wire/message_codec.h
+++ b/src/wire/message_codec.h
@@ -96,14 +96,14 @@
 /** Structs whose last fields may be missing, and then keep their default. */
 template <typename T>
 concept HasOptionalFields = requires {
-  T::kFieldsAlwaysThere;
+  T::kRequiredFieldCount;
 };
 
 /** @return the fewest fields with which a struct may come. */
 template <typename T>
 constexpr std::size_t fewestFields(std::size_t all) {
   if constexpr (HasOptionalFields<T>) {
-    return T::kFieldsAlwaysThere;
+    return T::kRequiredFieldCount;
   }
   return all;
 }
--- a/src/wire/record_codec.cc
+++ b/src/wire/record_codec.cc
@@ -18,7 +18,7 @@
 
 /** Order of the kinds on the wire: a new kind comes last. */
 using CompactRecord =
-    std::variant<IrrelevantItem, ServerRecord, RouteTable, RecordProblem, ZoneOutOfService>;
+    std::variant<IrrelevantItem, BackendRecord, RouteTable, RecordProblem, ZoneOutOfService>;
 
 CompactRecord toCompact(const Result<PlatformRecord, RecordProblem>& record) {
   if (!record) {
@@ -36,7 +36,7 @@
 }
 
 std::uint64_t startOf(const Result<PlatformRecord, RecordProblem>& record) {
-  const auto* server = record ? std::get_if<ServerRecord>(&record.value()) : nullptr;
+  const auto* server = record ? std::get_if<BackendRecord>(&record.value()) : nullptr;
   return server == nullptr ? 0 : server->started_ms;
 }
 
@@ -92,7 +92,7 @@
   if (!decoded) {
     return RecordProblem{std::string("the record can't be read: ") + toString(decoded.error())};
   }
-  if (auto* server = std::get_if<ServerRecord>(&decoded.value())) {
+  if (auto* server = std::get_if<BackendRecord>(&decoded.value())) {
     server->name = nameOfKey(key);
     server->started_ms = has_start ? startOf(value) : 0;
     return PlatformRecord(std::move(*server));
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -13,8 +13,8 @@
 constexpr std::uint32_t kServers = 3000;
 constexpr std::uint32_t kRoutes = 1700;
 
-Item serverItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
-  ServerRecord record;
+Item serverItem(std::uint32_t number, Revision revision, BackendState state = BackendState::Ready) {
+  BackendRecord record;
   record.server_id = number + 1;
   record.service = number % 5 == 0 ? "ingest" : "listen";
   record.zone = number % 2 == 0 ? "lac" : "ariana";
@@ -108,11 +108,11 @@
   large.open(1);
   const BackendRegistryCounters before = large.node.registryCounters();
   const std::uint64_t candidates_before = large.node.candidatesMade();
-  large.change({{serverItem(77, 11, ServerState::Draining), false}});
+  large.change({{serverItem(77, 11, BackendState::Draining), false}});
   large.open(2);
-  CHECK(large.node.registryCounters().backends_made == before.backends_made + 1);
-  CHECK(large.node.registryCounters().routes_made == before.routes_made);
-  CHECK(large.node.registryCounters().services_made == before.services_made);
+  CHECK(large.node.registryCounters().backends_built == before.backends_built + 1);
+  CHECK(large.node.registryCounters().routes_built == before.routes_built);
+  CHECK(large.node.registryCounters().services_built == before.services_built);
   CHECK(large.node.candidatesMade() <= candidates_before + 1);
 }
 
@@ -121,14 +121,14 @@
   constexpr std::uint32_t kFew = 3;
   std::vector<ItemChange> changes;
   for (std::uint32_t number = 0; number < kFew; ++number) {
-    changes.push_back({serverItem(number, 11, ServerState::Draining), false});
+    changes.push_back({serverItem(number, 11, BackendState::Draining), false});
   }
   large.change(changes);
   CHECK(large.log.lines("backend_state") == kFew);
   CHECK(large.log.lines("backend_states") == 0);
   constexpr std::uint32_t kMany = 600;
   for (std::uint32_t number = kFew; number < kMany; ++number) {
-    changes.push_back({serverItem(number, 12, ServerState::Draining), false});
+    changes.push_back({serverItem(number, 12, BackendState::Draining), false});
   }
   large.change(changes);
   CHECK(large.log.lines("backend_state") == kFew);
@@ -141,7 +141,7 @@
   large.node.setReadsPlatform([reads_platform] { return reads_platform; });
   std::vector<ItemChange> changes;
   for (std::uint32_t number = 0; number < 600; ++number) {
-    changes.push_back({serverItem(number, 12, ServerState::Draining), false});
+    changes.push_back({serverItem(number, 12, BackendState::Draining), false});
   }
   large.change(changes);
   CHECK(large.log.lines("backend_states") == (reads_platform ? 15 : 0));
@@ -152,14 +152,14 @@
   LargeNode large;
   const BackendRegistryCounters before = large.node.registryCounters();
   large.change({{routesItem(11), false}});
-  CHECK(large.node.registryCounters().routes_made == before.routes_made + kRoutes);
-  CHECK(large.node.registryCounters().backends_made == before.backends_made);
+  CHECK(large.node.registryCounters().routes_built == before.routes_built + kRoutes);
+  CHECK(large.node.registryCounters().backends_built == before.backends_built);
 }
 
 TEST_CASE("a first view makes each back end once", "[control_work]") {
   const LargeNode large;
-  CHECK(large.node.registryCounters().backends_made == kServers);
-  CHECK(large.node.registryCounters().routes_made == kRoutes);
+  CHECK(large.node.registryCounters().backends_built == kServers);
+  CHECK(large.node.registryCounters().routes_built == kRoutes);
 }
 
 }  // namespace
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -25,14 +25,14 @@
     }
     const bool has_start = value.starts_with(kStarted);
     if (value == "server" || value == "draining" || has_start) {
-      ServerRecord record;
+      BackendRecord record;
       record.started_ms = has_start ? std::stoull(value.substr(kStarted.size())) : 0;
       record.server_id = static_cast<unsigned char>(key.back());
       record.name = key;
       record.service = "listen";
       record.zone = "lac";
       record.address = addressOf(static_cast<std::uint32_t>(key.back()));
-      record.state = value == "draining" ? ServerState::Draining : ServerState::Ready;
+      record.state = value == "draining" ? BackendState::Draining : BackendState::Ready;
       return PlatformRecord(record);
     }
     if (value == "zone lac out of service") {
--- a/tests/discovery/backend_registry_test.cc
+++ b/tests/discovery/backend_registry_test.cc
@@ -12,9 +12,9 @@
 
 const Duration kRetiredFor = seconds(60);
 
-ServerRecord server(std::uint64_t server_id, const std::string& service, Endpoint address,
-                    ServerState state = ServerState::Ready) {
-  ServerRecord record;
+BackendRecord server(std::uint64_t server_id, const std::string& service, Endpoint address,
+                     BackendState state = BackendState::Ready) {
+  BackendRecord record;
   record.server_id = server_id;
   record.name = "i-" + std::to_string(server_id);
   record.service = service;
@@ -61,10 +61,10 @@
 
 TEST_CASE("a zone out of service is no allowed zone of any service", "[backend_registry]") {
   RegistryHarness harness;
-  ServerRecord in_ariana = server(2, "listen", addressOf(2));
+  BackendRecord in_ariana = server(2, "listen", addressOf(2));
   in_ariana.zone = "ariana";
-  harness.registry.onServer("a", server(1, "listen", addressOf(1)), 1, 1);
-  harness.registry.onServer("b", in_ariana, 2, 2);
+  harness.registry.onBackend("a", server(1, "listen", addressOf(1)), 1, 1);
+  harness.registry.onBackend("b", in_ariana, 2, 2);
   const auto allowed = [&](std::uint64_t server_id) {
     const auto view = harness.upToDate();
     const Backend* backend = harness.find(view, server_id);
@@ -84,14 +84,14 @@
           "[backend_registry]") {
   RegistryHarness harness;
   RouteTable table{7, {{kListen, {{"listen", 1}}}}, {{"listen", 750}, {"ingest", 0}}};
-  ServerRecord cold = server(1, "listen", addressOf(1));
+  BackendRecord cold = server(1, "listen", addressOf(1));
   cold.warmup_left_ms = 1500;
-  ServerRecord other = server(3, "ingest", addressOf(3));
+  BackendRecord other = server(3, "ingest", addressOf(3));
   other.warmup_left_ms = 1500;
   harness.registry.onRoutes(table, 1);
-  harness.registry.onServer("a", cold, 2, 2);
-  harness.registry.onServer("b", server(2, "listen", addressOf(2)), 3, 3);
-  harness.registry.onServer("c", other, 4, 4);
+  harness.registry.onBackend("a", cold, 2, 2);
+  harness.registry.onBackend("b", server(2, "listen", addressOf(2)), 3, 3);
+  harness.registry.onBackend("c", other, 4, 4);
   const auto view = harness.upToDate();
   CHECK(harness.find(view, 1)->cold_flows_per_second == 12.5);
   CHECK(harness.find(view, 1)->cold_until == harness.time.monotonicTime() + milliseconds(1500));
@@ -110,12 +110,12 @@
 TEST_CASE("a missing server goes on until it is written again, retired or its address taken",
           "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onServerMissing("backends/a", 9);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackendMissing("backends/a", 9);
   const auto is_retired = [&] { return harness.find(harness.upToDate(), 0xa)->retired; };
   CHECK_FALSE(is_retired());
   SECTION("written again") {
-    harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 10, 10);
+    harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 10, 10);
     CHECK_FALSE(harness.registry.retireMissing());
     CHECK_FALSE(is_retired());
   }
@@ -124,22 +124,22 @@
     CHECK(is_retired());
   }
   SECTION("found gone, and long forgotten when the missing ones are taken for gone") {
-    harness.registry.onServerGone("backends/a", 10);
+    harness.registry.onBackendDeleted("backends/a", 10);
     CHECK(is_retired());
     harness.time.elapsed += kRetiredFor + seconds(1);
-    CHECK(harness.registry.forgetRetired());
+    CHECK(harness.registry.pruneRetired());
     CHECK_FALSE(harness.registry.retireMissing());
   }
   SECTION("another server has its address") {
-    harness.registry.onServer("backends/b", server(0xb, "ingest", addressOf(1)), 10, 10);
+    harness.registry.onBackend("backends/b", server(0xb, "ingest", addressOf(1)), 10, 10);
     CHECK(is_retired());
   }
 }
 
 TEST_CASE("a server that is gone stays reachable and gets nothing new", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onServerGone("backends/a", 9);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackendDeleted("backends/a", 9);
   auto view = harness.upToDate();
   const Backend* backend = harness.find(view, 0xa);
   REQUIRE(backend != nullptr);
@@ -148,70 +148,70 @@
   CHECK(view->backendAt(addressOf(1)) == nullptr);
 
   harness.time.elapsed += kRetiredFor + seconds(1);
-  CHECK(harness.registry.forgetRetired());
+  CHECK(harness.registry.pruneRetired());
   view = harness.upToDate();
   CHECK(harness.find(view, 0xa) == nullptr);
 }
 
 TEST_CASE("a server that comes back to the platform is ready again", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onServerGone("backends/a", 9);
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 12, 12);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackendDeleted("backends/a", 9);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 12, 12);
   const auto view = harness.upToDate();
   CHECK_FALSE(harness.find(view, 0xa)->retired);
 }
 
 TEST_CASE("a draining server is kept as leaving", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onServer("backends/a",
-                            server(0xa, "listen", addressOf(1), ServerState::Draining), 5, 3);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/a",
+                             server(0xa, "listen", addressOf(1), BackendState::Draining), 5, 3);
   CHECK(harness.find(harness.upToDate(), 0xa)->draining);
 }
 
-ServerRecord startedAt(std::uint64_t started_ms, ServerState state = ServerState::Ready) {
-  ServerRecord record = server(0xa, "listen", addressOf(1), state);
+BackendRecord startedAt(std::uint64_t started_ms, BackendState state = BackendState::Ready) {
+  BackendRecord record = server(0xa, "listen", addressOf(1), state);
   record.started_ms = started_ms;
   return record;
 }
 
 TEST_CASE("a later start under a known id is told as a restart, once", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", startedAt(1000, ServerState::Draining), 3, 3);
+  harness.registry.onBackend("backends/a", startedAt(1000, BackendState::Draining), 3, 3);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
   const bool has_gone = GENERATE(false, true);
   if (has_gone) {
-    harness.registry.onServerGone("backends/a", 4);
+    harness.registry.onBackendDeleted("backends/a", 4);
   }
-  harness.registry.onServer("backends/a", startedAt(2000), 5, 3);
+  harness.registry.onBackend("backends/a", startedAt(2000), 5, 3);
   const auto changes = harness.registry.updateConfiguration();
   CHECK(changes.restarted == std::vector<BackendId>{backendIdOfServer(0xa)});
   const Backend* backend = harness.find(harness.registry.configuration(), 0xa);
   CHECK_FALSE(backend->draining);
   CHECK_FALSE(backend->retired);
-  harness.registry.onServer("backends/a", startedAt(2000), 6, 3);
+  harness.registry.onBackend("backends/a", startedAt(2000), 6, 3);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
 }
 
 TEST_CASE("an earlier run never comes back, whatever is written late", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", startedAt(2000), 3, 3);
-  harness.registry.onServer("backends/a", startedAt(1000, ServerState::Draining), 7, 3);
+  harness.registry.onBackend("backends/a", startedAt(2000), 3, 3);
+  harness.registry.onBackend("backends/a", startedAt(1000, BackendState::Draining), 7, 3);
   CHECK_FALSE(harness.find(harness.upToDate(), 0xa)->draining);
-  harness.registry.onServer("backends/a", startedAt(2000, ServerState::Draining), 8, 3);
+  harness.registry.onBackend("backends/a", startedAt(2000, BackendState::Draining), 8, 3);
   CHECK(harness.find(harness.upToDate(), 0xa)->draining);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
 }
 
 TEST_CASE("a record without a start is of the run that is known", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onServer("backends/a", startedAt(0), 2, 2);
-  harness.registry.onServer("backends/a", startedAt(2000), 3, 2);
-  harness.registry.onServer("backends/a", startedAt(0, ServerState::Draining), 4, 2);
+  harness.registry.onBackend("backends/a", startedAt(0), 2, 2);
+  harness.registry.onBackend("backends/a", startedAt(2000), 3, 2);
+  harness.registry.onBackend("backends/a", startedAt(0, BackendState::Draining), 4, 2);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
   CHECK(harness.find(harness.registry.configuration(), 0xa)->draining);
-  harness.registry.onServer("backends/a", startedAt(1000), 5, 2);
+  harness.registry.onBackend("backends/a", startedAt(1000), 5, 2);
   CHECK(harness.find(harness.upToDate(), 0xa)->draining);
 }
 
@@ -219,10 +219,10 @@
           "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onRoutes({7, {{kListen, {{"listen", 1}}}}, {{"ingest", 0}}}, 1);
-  harness.registry.onServer("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onServer("backends/b", server(0xb, "elsewhere", addressOf(1)), 4, 4);
-  harness.registry.onServer("backends/c", server(0xc, "ingest", addressOf(3)), 5, 5);
-  harness.registry.onServerGone("backends/a", 6);
+  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/b", server(0xb, "elsewhere", addressOf(1)), 4, 4);
+  harness.registry.onBackend("backends/c", server(0xc, "ingest", addressOf(3)), 5, 5);
+  harness.registry.onBackendDeleted("backends/a", 6);
   auto view = harness.upToDate();
   CHECK(harness.find(view, 0xa)->retired);
   CHECK(view->backendAt(addressOf(1)) == nullptr);
@@ -255,8 +255,8 @@
   const auto pairs = clashingServers(250'000);
   REQUIRE(pairs.size() >= 3);
   for (const auto& [older, newer] : pairs) {
-    std::vector<ServerRecord> fleet = {server(older, "listen", addressOf(1)),
-                                       server(newer, "listen", addressOf(2))};
+    std::vector<BackendRecord> fleet = {server(older, "listen", addressOf(1)),
+                                        server(newer, "listen", addressOf(2))};
     for (std::uint32_t index = 0; index < 1000; ++index) {
       fleet.push_back(server(0x100000 + index, "listen", addressOf(3 + index)));
     }
@@ -268,8 +268,8 @@
         std::swap(order[0], order[1]);
       }
       for (const std::size_t index : order) {
-        harness.registry.onServer("backends/" + fleet[index].name, fleet[index], 10 + index,
-                                  10 + index);
+        harness.registry.onBackend("backends/" + fleet[index].name, fleet[index], 10 + index,
+                                   10 + index);
         harness.upToDate();
       }
       const auto view = harness.upToDate();
@@ -280,9 +280,9 @@
       CHECK(second->server_id == newer);
       CHECK(view->backendsOf(second->service).size() == fleet.size());
       // The newer one keeps its id after the older one is forgotten: its open flows go on.
-      harness.registry.onServerGone("backends/" + fleet[0].name, 5000);
+      harness.registry.onBackendDeleted("backends/" + fleet[0].name, 5000);
       harness.time.elapsed += kRetiredFor + seconds(1);
-      harness.registry.forgetRetired();
+      harness.registry.pruneRetired();
       CHECK(harness.upToDate()->backend(secondBackendIdOfServer(newer))->server_id == newer);
     }
   }
--- a/tests/discovery/live_configuration_test.cc
+++ b/tests/discovery/live_configuration_test.cc
@@ -17,7 +17,7 @@
 
 /** What a registry is to know, kept in the plainest form. */
 struct KnownServer {
-  ServerRecord record;
+  BackendRecord record;
   Revision created = 0;
   bool retired = false;
   Duration retired_at{};
@@ -31,18 +31,18 @@
   }
 
   void write(const std::string& key, std::uint64_t server_id) {
-    ServerRecord record;
+    BackendRecord record;
     record.server_id = server_id;
     record.name = key;
     record.service = kServices[below(3)];
     record.zone = kZones[below(3)];
     record.address = addressOf(below(20));
     record.slots = 1 + below(3);
-    record.state = below(4) == 0 ? ServerState::Draining : ServerState::Ready;
+    record.state = below(4) == 0 ? BackendState::Draining : BackendState::Ready;
     record.warmup_left_ms = below(3) == 0 ? 1500 : 0;
     const auto known = servers.find(key);
     const Revision created = known == servers.end() ? revision : known->second.created;
-    registry.onServer(key, record, revision, created);
+    registry.onBackend(key, record, revision, created);
     servers[key] = {record, created, false, {}, false};
     for (auto& [other_key, other] : servers) {
       if (other.missing && other.record.address == record.address) {
@@ -66,13 +66,13 @@
     const bool is_there = known != servers.end() && !known->second.retired;
     switch (below(8)) {
       case 0:
-        registry.onServerGone(key, revision);
+        registry.onBackendDeleted(key, revision);
         if (is_there) {
           retire(known->second);
         }
         break;
       case 1:
-        registry.onServerMissing(key, revision);
+        registry.onBackendMissing(key, revision);
         if (is_there) {
           known->second.missing = true;
         }
@@ -86,7 +86,7 @@
         }
         break;
       case 3:
-        registry.forgetRetired();
+        registry.pruneRetired();
         std::erase_if(servers, [this](const auto& entry) {
           return entry.second.retired && time.elapsed - entry.second.retired_at > kRetiredFor;
         });
@@ -132,7 +132,7 @@
     CHECK(backend.address == server.record.address);
     CHECK(backend.slots == server.record.slots);
     CHECK(backend.retired == server.retired);
-    CHECK(backend.draining == (server.record.state == ServerState::Draining));
+    CHECK(backend.draining == (server.record.state == BackendState::Draining));
     CHECK(view->service(backend.service)->name == server.record.service);
     CHECK(view->zone(backend.zone)->name == server.record.zone);
     CHECK(backend.cold_flows_per_second ==
@@ -169,7 +169,7 @@
     CHECK((view->routeAt(kListen) != nullptr) == !routes.routes.empty());
     if (!routes.routes.empty()) {
       CHECK(view->service(view->routeAt(kListen)->targets[0].service)->name ==
-            routes.routes[0].shares[0].service);
+            routes.routes[0].services[0].service);
     }
   }
 
--- a/tests/platform/store_codec_test.cc
+++ b/tests/platform/store_codec_test.cc
@@ -130,12 +130,12 @@
   nlohmann::json entry = goodEntry();
   const auto record = read(entry);
   REQUIRE(record);
-  CHECK(std::get<ServerRecord>(record.value()).started_ms == kNowMs - 5000);
+  CHECK(std::get<BackendRecord>(record.value()).started_ms == kNowMs - 5000);
   entry["born"] = kNowMs + 60'000;  // Clocks differ.
   CHECK(read(entry));
   entry.erase("born");
   REQUIRE(read(entry));
-  CHECK(std::get<ServerRecord>(read(entry).value()).started_ms == 0);
+  CHECK(std::get<BackendRecord>(read(entry).value()).started_ms == 0);
 }
 
 TEST_CASE("an entry with one wrong field names no server, and says which", "[store_codec]") {
@@ -221,13 +221,13 @@
       R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"charguia","version":"v1",)"
       R"("capacity":2,"state":"draining","warmup_left_ms":70,"seq":4})");
   REQUIRE(record);
-  const auto& server = std::get<ServerRecord>(record.value());
+  const auto& server = std::get<BackendRecord>(record.value());
   CHECK(server.server_id == 0x7f3a91c2ff);
   CHECK(server.service == "huvo11a");
   CHECK(server.address == Endpoint{0x0a800009, 8080});
   CHECK(server.zone == "charguia");
   CHECK(server.slots == 2);
-  CHECK(server.state == ServerState::Draining);
+  CHECK(server.state == BackendState::Draining);
   CHECK(server.warmup_left_ms == 70);
 }
 
@@ -257,9 +257,9 @@
   CHECK(table.version == 7);
   REQUIRE(table.routes.size() == 2);
   CHECK(table.routes[0].address == Endpoint{0xc6120001, 8443});
-  REQUIRE(table.routes[0].shares.size() == 2);
-  CHECK(table.routes[0].shares[0].weight == 90);
-  CHECK(table.routes[1].shares[0].service == "wuno96b");
+  REQUIRE(table.routes[0].services.size() == 2);
+  CHECK(table.routes[0].services[0].weight == 90);
+  CHECK(table.routes[1].services[0].service == "wuno96b");
   CHECK_FALSE(table.routes[0].bulk);
   CHECK(table.routes[1].bulk);
   REQUIRE(table.warmups.size() == 3);
--- a/tests/wire/record_codec_test.cc
+++ b/tests/wire/record_codec_test.cc
@@ -7,24 +7,24 @@
 
 const CompactRecordDecoder kDecoder;
 
-ServerRecord sampleServer() {
-  ServerRecord server;
+BackendRecord sampleServer() {
+  BackendRecord server;
   server.server_id = 0xab12cd34ef;
   server.name = "i-ab12cd34ef";
   server.service = "listen";
   server.address = {0x0a010203, 7001};
   server.zone = "lac";
   server.slots = 2;
-  server.state = ServerState::Draining;
+  server.state = BackendState::Draining;
   server.warmup_left_ms = 1500;
   return server;
 }
 
 TEST_CASE("a server's record is read as it was written, its name from the key", "[record_codec]") {
-  const ServerRecord server = sampleServer();
+  const BackendRecord server = sampleServer();
   const auto record = kDecoder.decode("server/i-ab12cd34ef", encodeRecord(PlatformRecord(server)));
   REQUIRE(record);
-  const auto& read = std::get<ServerRecord>(record.value());
+  const auto& read = std::get<BackendRecord>(record.value());
   CHECK(read.server_id == server.server_id);
   CHECK(read.name == server.name);
   CHECK(read.service == server.service);
@@ -44,9 +44,9 @@
   CHECK(read.version == 9);
   REQUIRE(read.routes.size() == 1);
   CHECK(read.routes[0].address == Endpoint{0xc6120001, 443});
-  REQUIRE(read.routes[0].shares.size() == 2);
-  CHECK(read.routes[0].shares[1].service == "ingest");
-  CHECK(read.routes[0].shares[1].weight == 10);
+  REQUIRE(read.routes[0].services.size() == 2);
+  CHECK(read.routes[0].services[1].service == "ingest");
+  CHECK(read.routes[0].services[1].weight == 10);
   CHECK(read.routes[0].bulk);
   REQUIRE(read.warmups.size() == 1);
   CHECK(read.warmups[0].flows_per_minute == 750);
--- a/tests/wire/view_transfer_codec_test.cc
+++ b/tests/wire/view_transfer_codec_test.cc
@@ -20,7 +20,7 @@
   const std::array<std::string, 5> zones = {"charguia", "lac", "ariana", "soukra", "megrine"};
   ViewBody body{{}, 100000, true, {}};
   for (std::size_t index = 0; index < servers; ++index) {
-    ServerRecord record;
+    BackendRecord record;
     record.server_id = random->next() >> 24;
     record.service = index % 5 == 0 ? "ingest" : "listen-api";
     record.zone = zones[index % zones.size()];
