--- a/src/discovery/backend_registry.cc
+++ b/src/discovery/backend_registry.cc
@@ -14,8 +14,8 @@
 
 constexpr std::uint32_t kFirstId = 1;
 constexpr double kSecondsInMinute = 60;
-/** Servers in a line of a snapshot: about a kilobyte. */
-constexpr std::size_t kServersInLine = 40;
+/** Backends per line of a snapshot; gives lines of about 1 kB. */
+constexpr std::size_t kBackendsPerLine = 40;
 
 const char* nameOf(BackendState state) {
   return state == BackendState::Ready ? "ready" : "draining";
@@ -25,11 +25,11 @@
   return name + "=" + state;
 }
 
-/** @return the texts with a blank between them, a few dozen to a line. */
+/** @return the texts joined by spaces, kBackendsPerLine to a line. */
 std::vector<std::string> linesOf(const std::vector<std::string>& texts) {
   std::vector<std::string> lines;
   for (std::size_t index = 0; index < texts.size(); ++index) {
-    if (index % kServersInLine == 0) {
+    if (index % kBackendsPerLine == 0) {
       lines.emplace_back();
     } else {
       lines.back() += ' ';
@@ -39,7 +39,7 @@
   return lines;
 }
 
-/** @return the id of a name; names get ids in the order in which they are first met. */
+/** @return the id of a name; ids are assigned in the order of first use. */
 template <typename Id>
 Id internedId(std::map<std::string, Id>& ids, const std::string& name) {
   using Value = decltype(Id().value());
@@ -49,51 +49,51 @@
 
 }  // namespace
 
-BackendRegistry::BackendRegistry(Duration retired_for, const TimeSource& time_source, EventLog& log)
-    : retired_for_(retired_for), time_source_(time_source), log_(log) {}
+BackendRegistry::BackendRegistry(Duration retired_ttl, const TimeSource& time_source, EventLog& log)
+    : retired_ttl_(retired_ttl), time_source_(time_source), log_(log) {}
 
 void BackendRegistry::onBackend(const std::string& key, const BackendRecord& record,
                                 Revision revision, Revision created) {
-  // A first view comes in the order of the keys: appending spares the search in the map.
-  const bool comes_last = servers_.empty() || std::prev(servers_.end())->first < key;
-  Server& server = comes_last ? servers_.try_emplace(servers_.end(), key)->second : servers_[key];
-  const bool is_new = server.revision == 0;
-  if (!is_new && isOfEarlierRun(server, record)) {
+  // The first view arrives sorted by key, so that appending avoids a lookup in the map.
+  const bool is_last = backends_.empty() || std::prev(backends_.end())->first < key;
+  Entry& entry = is_last ? backends_.try_emplace(backends_.end(), key)->second : backends_[key];
+  const bool is_new = entry.revision == 0;
+  if (!is_new && isOfEarlierIncarnation(entry, record)) {
     log_.write(LogLevel::Warn, "discovery", "record_of_earlier_run",
                {{"backend", record.name},
                 {"started_ms", record.started_ms},
-                {"known_started_ms", server.record.started_ms},
+                {"known_started_ms", entry.record.started_ms},
                 {"revision", revision}});
     return;
   }
-  const bool state_changed = is_new || server.retired || server.record.state != record.state ||
-                             server.record.address != record.address;
+  const bool state_changed = is_new || entry.retired || entry.record.state != record.state ||
+                             entry.record.address != record.address;
   if (!is_new) {
-    noteRestart(server, record, revision);
+    detectRestart(entry, record, revision);
   }
-  const std::uint64_t known_start = server.record.started_ms;
-  server.record = record;
+  const std::uint64_t known_started_ms = entry.record.started_ms;
+  entry.record = record;
   if (record.started_ms == 0) {
-    // Told by a balancer that does not know of starts.
-    server.record.started_ms = known_start;
+    // The record comes from a balancer version without start times.
+    entry.record.started_ms = known_started_ms;
   }
-  server.revision = revision;
-  server.created = created;
+  entry.revision = revision;
+  entry.created = created;
   if (is_new) {
-    setId(key, server);
+    setId(key, entry);
   }
-  server.cold_until = time_source_.monotonicTime() + milliseconds(record.warmup_left_ms);
-  server.retired = false;
-  server.missing_since = 0;
+  entry.cold_until = time_source_.monotonicTime() + milliseconds(record.warmup_left_ms);
+  entry.retired = false;
+  entry.missing_at = 0;
   missing_.erase(key);
-  touch(server);
-  if (isNamed(record.service)) {
+  markChanged(entry);
+  if (isConfigured(record.service)) {
     retireMissingAt(record.address);
   }
-  if (state_changed && logs_servers_ && !collectState(server, nameOf(record.state), revision)) {
+  if (state_changed && logs_backends_ && !collectState(entry, nameOf(record.state), revision)) {
     log_.write(LogLevel::Info, "discovery", "backend_state",
                {{"backend", record.name},
-                {"backend_id", server.id.value()},
+                {"backend_id", entry.id.value()},
                 {"service", record.service},
                 {"address", toString(record.address)},
                 {"backend_zone", record.zone},
@@ -102,28 +102,29 @@
   }
 }
 
-bool BackendRegistry::isOfEarlierRun(const Server& server, const BackendRecord& record) const {
-  return record.started_ms != 0 && record.started_ms < server.record.started_ms;
+bool BackendRegistry::isOfEarlierIncarnation(const Entry& entry,
+                                             const BackendRecord& record) const {
+  return record.started_ms != 0 && record.started_ms < entry.record.started_ms;
 }
 
-void BackendRegistry::noteRestart(const Server& server, const BackendRecord& record,
-                                  Revision revision) {
-  const std::uint64_t started_before = server.record.started_ms;
-  if (started_before == 0 || record.started_ms <= started_before) {
+void BackendRegistry::detectRestart(const Entry& entry, const BackendRecord& record,
+                                    Revision revision) {
+  const std::uint64_t previous_started_ms = entry.record.started_ms;
+  if (previous_started_ms == 0 || record.started_ms <= previous_started_ms) {
     return;
   }
-  restarted_.insert(server.id);
+  restarted_ids_.insert(entry.id);
   log_.write(LogLevel::Info, "discovery", "backend_restarted",
              {{"backend", record.name},
-              {"backend_id", server.id.value()},
+              {"backend_id", entry.id.value()},
               {"started_ms", record.started_ms},
-              {"started_before_ms", started_before},
+              {"started_before_ms", previous_started_ms},
               {"revision", revision}});
 }
 
 void BackendRegistry::onBackendUnreadable(const std::string& key, Revision revision) {
-  const auto found = servers_.find(key);
-  if (found == servers_.end() || found->second.retired) {
+  const auto found = backends_.find(key);
+  if (found == backends_.end() || found->second.retired) {
     return;
   }
   missing_.erase(key);
@@ -131,8 +132,8 @@
 }
 
 void BackendRegistry::onBackendDeleted(const std::string& key, Revision revision) {
-  const auto found = servers_.find(key);
-  if (found == servers_.end() || found->second.retired) {
+  const auto found = backends_.find(key);
+  if (found == backends_.end() || found->second.retired) {
     return;
   }
   missing_.erase(key);
@@ -140,104 +141,104 @@
 }
 
 void BackendRegistry::onBackendMissing(const std::string& key, Revision revision) {
-  const auto found = servers_.find(key);
-  if (found == servers_.end() || found->second.retired) {
+  const auto found = backends_.find(key);
+  if (found == backends_.end() || found->second.retired) {
     return;
   }
-  Server& server = found->second;
-  server.missing_since = revision;
+  Entry& entry = found->second;
+  entry.missing_at = revision;
   missing_.insert(key);
   log_.write(LogLevel::Info, "discovery", "backend_missing",
-             {{"backend", server.record.name},
-              {"backend_id", server.id.value()},
-              {"state", nameOf(server.record.state)},
+             {{"backend", entry.record.name},
+              {"backend_id", entry.id.value()},
+              {"state", nameOf(entry.record.state)},
               {"revision", revision}});
 }
 
 bool BackendRegistry::retireMissing() {
   const std::set<std::string> keys = std::exchange(missing_, {});
   for (const std::string& key : keys) {
-    Server& server = servers_.at(key);
-    retire(server, server.missing_since);
+    Entry& entry = backends_.at(key);
+    retire(entry, entry.missing_at);
   }
   return !keys.empty();
 }
 
 void BackendRegistry::retireMissingAt(Endpoint address) {
   std::erase_if(missing_, [&](const std::string& key) {
-    Server& server = servers_.at(key);
-    const bool is_replaced = server.record.address == address;
+    Entry& entry = backends_.at(key);
+    const bool is_replaced = entry.record.address == address;
     if (is_replaced) {
-      retire(server, server.missing_since);
+      retire(entry, entry.missing_at);
     }
     return is_replaced;
   });
 }
 
-void BackendRegistry::setId(const std::string& key, Server& server) {
-  const BackendId id = backendIdOfServer(server.record.server_id);
-  indexId(key, server, id);
+void BackendRegistry::setId(const std::string& key, Entry& entry) {
+  const BackendId id = backendIdOfServer(entry.record.server_id);
+  indexId(key, entry, id);
   if (keys_by_id_[id].size() > 1) {
-    resolveClash(id);
+    resolveIdCollision(id);
   }
 }
 
-void BackendRegistry::indexId(const std::string& key, Server& server, BackendId id) {
-  server.id = id;
-  keys_by_id_[id].push_back(&servers_.find(key)->first);
+void BackendRegistry::indexId(const std::string& key, Entry& entry, BackendId id) {
+  entry.id = id;
+  keys_by_id_[id].push_back(&backends_.find(key)->first);
 }
 
-void BackendRegistry::resolveClash(BackendId id) {
+void BackendRegistry::resolveIdCollision(BackendId id) {
   const std::string* oldest = oldestOf(id);
   const std::vector<const std::string*> keys = keys_by_id_[id];
   for (const std::string* key : keys) {
-    Server& server = servers_.at(*key);
-    const BackendId second = secondBackendIdOfServer(server.record.server_id);
-    const bool may_move = key != oldest && server.id != second;
+    Entry& entry = backends_.at(*key);
+    const BackendId second = secondBackendIdOfServer(entry.record.server_id);
+    const bool may_move = key != oldest && entry.id != second;
     if (may_move && !keys_by_id_.contains(second)) {
-      reportClash(server, servers_.at(*oldest), "goes by its second id");
-      forgetId(*key, id);
-      indexId(*key, server, second);
-      touch(server);
+      reportIdCollision(entry, backends_.at(*oldest), "uses its secondary id");
+      unindexId(*key, id);
+      indexId(*key, entry, second);
+      markChanged(entry);
     }
   }
 }
 
-void BackendRegistry::forgetId(const std::string& key, BackendId id) {
+void BackendRegistry::unindexId(const std::string& key, BackendId id) {
   const auto found = keys_by_id_.find(id);
   if (found == keys_by_id_.end()) {
     return;
   }
-  touched_.insert(id);
+  changed_ids_.insert(id);
   std::erase_if(found->second, [&](const std::string* other) { return *other == key; });
   if (found->second.empty()) {
     keys_by_id_.erase(found);
   }
 }
 
-void BackendRegistry::touchColdServers() {
-  for (const auto& [key, server] : servers_) {
-    if (server.record.warmup_left_ms > 0) {
-      touch(server);
+void BackendRegistry::markColdBackendsChanged() {
+  for (const auto& [key, entry] : backends_) {
+    if (entry.record.warmup_left_ms > 0) {
+      markChanged(entry);
     }
   }
 }
 
-void BackendRegistry::retire(Server& server, Revision revision, const char* state) {
-  server.retired = true;
-  server.retired_at = time_source_.monotonicTime();
-  server.missing_since = 0;
-  touch(server);
-  if (collectState(server, state, revision)) {
+void BackendRegistry::retire(Entry& entry, Revision revision, const char* state) {
+  entry.retired = true;
+  entry.retired_at = time_source_.monotonicTime();
+  entry.missing_at = 0;
+  markChanged(entry);
+  if (collectState(entry, state, revision)) {
     return;
   }
   log_.write(LogLevel::Info, "discovery", "backend_state",
-             {{"backend", server.record.name},
-              {"backend_id", server.id.value()},
-              {"service", server.record.service},
-              {"address", toString(server.record.address)},
+             {{"backend", entry.record.name},
+              {"backend_id", entry.id.value()},
+              {"service", entry.record.service},
+              {"address", toString(entry.record.address)},
               {"state", state},
-              {"state_before", nameOf(server.record.state)},
+              {"state_before", nameOf(entry.record.state)},
               {"revision", revision}});
 }
 
@@ -251,34 +252,34 @@
               {"routes", static_cast<std::uint64_t>(table.routes.size())},
               {"revision", revision}});
   if (table.warmups != routes_.warmups) {
-    touchColdServers();
+    markColdBackendsChanged();
   }
   routes_ = std::move(table);
   has_routes_ = true;
-  routes_touched_ = true;
-  nameServices();
+  routes_changed_ = true;
+  addConfiguredServices();
 }
 
-void BackendRegistry::nameServices() {
-  const std::size_t known_before = named_services_.size();
+void BackendRegistry::addConfiguredServices() {
+  const std::size_t known_before = configured_services_.size();
   for (const ServiceWarmup& service : routes_.warmups) {
-    named_services_.insert(service.service);
+    configured_services_.insert(service.service);
   }
   for (const RouteRecord& route : routes_.routes) {
     for (const WeightedService& target : route.services) {
-      named_services_.insert(target.service);
+      configured_services_.insert(target.service);
     }
   }
-  if (named_services_.size() != known_before) {
-    for (const auto& [key, server] : servers_) {
-      touch(server);
+  if (configured_services_.size() != known_before) {
+    for (const auto& [key, entry] : backends_) {
+      markChanged(entry);
     }
   }
 }
 
 void BackendRegistry::onZoneOutOfService(const std::string& key, const ZoneOutOfService& record,
                                          Revision revision) {
-  services_touched_ = true;
+  services_changed_ = true;
   if (zones_out_of_service_.insert_or_assign(key, record.zone).second) {
     log_.write(LogLevel::Info, "discovery", "zone_out_of_service",
                {{"out_of_service", record.zone}, {"revision", revision}});
@@ -290,7 +291,7 @@
   if (found.empty()) {
     return false;
   }
-  services_touched_ = true;
+  services_changed_ = true;
   log_.write(LogLevel::Info, "discovery", "zone_back_in_service",
              {{"back_in_service", found.mapped()}, {"revision", revision}});
   return true;
@@ -303,33 +304,33 @@
 
 BackendRegistry::Summary BackendRegistry::summary() const {
   Summary summary;
-  for (const auto& [key, server] : servers_) {
-    if (server.retired) {
+  for (const auto& [key, entry] : backends_) {
+    if (entry.retired) {
       ++summary.retired;
-    } else if (server.record.state == BackendState::Draining) {
+    } else if (entry.record.state == BackendState::Draining) {
       ++summary.draining;
     } else {
       ++summary.ready;
     }
-    summary.digest ^= XXH3_64bits_withSeed(key.data(), key.size(), server.revision);
+    summary.digest ^= XXH3_64bits_withSeed(key.data(), key.size(), entry.revision);
   }
   return summary;
 }
 
 std::vector<std::string> BackendRegistry::snapshotLines() const {
   std::vector<std::string> states;
-  states.reserve(servers_.size());
-  for (const auto& [key, server] : servers_) {
-    states.push_back(stateText(server.record.name, nameOf(server.record.state)));
+  states.reserve(backends_.size());
+  for (const auto& [key, entry] : backends_) {
+    states.push_back(stateText(entry.record.name, nameOf(entry.record.state)));
   }
   return linesOf(states);
 }
 
-bool BackendRegistry::collectState(const Server& server, const char* state, Revision revision) {
+bool BackendRegistry::collectState(const Entry& entry, const char* state, Revision revision) {
   if (!is_batch_) {
     return false;
   }
-  batch_states_.push_back(stateText(server.record.name, state));
+  batch_states_.push_back(stateText(entry.record.name, state));
   batch_revision_ = std::max(batch_revision_, revision);
   return true;
 }
@@ -352,31 +353,31 @@
 
 bool BackendRegistry::pruneRetired() {
   const MonotonicTime now = time_source_.monotonicTime();
-  const auto is_over = [&](const auto& entry) {
-    const auto& [key, server] = entry;
-    const bool over = server.retired && now - server.retired_at > retired_for_;
-    if (over) {
-      forgetId(key, server.id);
+  const auto is_expired = [&](const auto& element) {
+    const auto& [key, entry] = element;
+    const bool expired = entry.retired && now - entry.retired_at > retired_ttl_;
+    if (expired) {
+      unindexId(key, entry.id);
     }
-    return over;
+    return expired;
   };
-  return std::erase_if(servers_, is_over) > 0;
+  return std::erase_if(backends_, is_expired) > 0;
 }
 
 ConfigurationChanges BackendRegistry::updateConfiguration() {
   ConfigurationChanges changes;
-  const auto restarted = std::exchange(restarted_, {});
+  const auto restarted = std::exchange(restarted_ids_, {});
   changes.restarted.assign(restarted.begin(), restarted.end());
   configuration_->setVersion(ConfigVersion(++counters_.updates));
-  for (const BackendId id : std::exchange(touched_, {})) {
+  for (const BackendId id : std::exchange(changed_ids_, {})) {
     updateBackend(id, changes);
   }
-  // Routes and servers may have brought services and zones that were not known before.
-  changes.routes = std::exchange(routes_touched_, false);
+  // Routes and backends may have added services and zones; update these last.
+  changes.routes = std::exchange(routes_changed_, false);
   if (changes.routes) {
     updateRoutes();
   }
-  changes.services = std::exchange(services_touched_, false);
+  changes.services = std::exchange(services_changed_, false);
   if (changes.services) {
     updateServices();
   }
@@ -384,8 +385,8 @@
 }
 
 void BackendRegistry::updateBackend(BackendId id, ConfigurationChanges& changes) {
-  const Server* owner = ownerOf(id);
-  if (owner != nullptr && isNamed(owner->record.service)) {
+  const Entry* owner = ownerOf(id);
+  if (owner != nullptr && isConfigured(owner->record.service)) {
     changes.backends.push_back(configuration_->put(makeBackend(*owner)));
     return;
   }
@@ -409,8 +410,8 @@
   for (const auto& [name, id] : zone_ids_) {
     zones.push_back({id, name, ""});
   }
-  // A service's allowed zones stand above every fallback of placement: one that is out of service
-  // gets nothing new even where all other servers are silent or full.
+  // No fallback of placement overrides a service's allowed zones: a zone that is out of service
+  // gets no new flows even if all other backends are silent or full.
   const std::vector<ZoneId> in_service = zonesInService();
   std::vector<Service> services;
   for (const auto& [name, id] : service_ids_) {
@@ -436,29 +437,30 @@
     return nullptr;
   }
   const auto is_older = [this](const std::string* left, const std::string* right) {
-    const Revision left_created = servers_.at(*left).created;
-    const Revision right_created = servers_.at(*right).created;
+    const Revision left_created = backends_.at(*left).created;
+    const Revision right_created = backends_.at(*right).created;
     return left_created == right_created ? *left < *right : left_created < right_created;
   };
   return *std::min_element(keys->second.begin(), keys->second.end(), is_older);
 }
 
-const BackendRegistry::Server* BackendRegistry::ownerOf(BackendId id) {
+const BackendRegistry::Entry* BackendRegistry::ownerOf(BackendId id) {
   const std::string* oldest = oldestOf(id);
   if (oldest == nullptr) {
     return nullptr;
   }
-  const Server& owner = servers_.at(*oldest);
+  const Entry& owner = backends_.at(*oldest);
   for (const std::string* key : keys_by_id_.at(id)) {
     if (key != oldest) {
-      reportClash(servers_.at(*key), owner, "gets no flows");
+      reportIdCollision(backends_.at(*key), owner, "gets no flows");
     }
   }
   return &owner;
 }
 
-void BackendRegistry::reportClash(const Server& other, const Server& owner, const char* outcome) {
-  if (reported_clashes_.insert(other.record.server_id).second) {
+void BackendRegistry::reportIdCollision(const Entry& other, const Entry& owner,
+                                        const char* outcome) {
+  if (reported_collisions_.insert(other.record.server_id).second) {
     log_.write(
         LogLevel::Warn, "discovery", "backend_id_clash",
         {{"backend", other.record.name}, {"owner", owner.record.name}, {"outcome", outcome}});
@@ -468,22 +470,22 @@
 ServiceId BackendRegistry::serviceIdOf(const std::string& name) {
   const std::size_t known = service_ids_.size();
   const ServiceId id = internedId(service_ids_, name);
-  services_touched_ = services_touched_ || service_ids_.size() != known;
+  services_changed_ = services_changed_ || service_ids_.size() != known;
   return id;
 }
 
 ZoneId BackendRegistry::zoneIdOf(const std::string& name) {
   const std::size_t known = zone_ids_.size();
   const ZoneId id = internedId(zone_ids_, name);
-  services_touched_ = services_touched_ || zone_ids_.size() != known;
+  services_changed_ = services_changed_ || zone_ids_.size() != known;
   return id;
 }
 
-Backend BackendRegistry::makeBackend(const Server& server) {
+Backend BackendRegistry::makeBackend(const Entry& entry) {
   ++counters_.backends_built;
-  const BackendRecord& record = server.record;
+  const BackendRecord& record = entry.record;
   Backend backend;
-  backend.id = server.id;
+  backend.id = entry.id;
   backend.name = record.name;
   backend.service = serviceIdOf(record.service);
   backend.zone = zoneIdOf(record.zone);
@@ -491,10 +493,10 @@
   backend.slots = std::max(record.slots, 1U);
   backend.connections = 1;
   backend.draining = record.state == BackendState::Draining;
-  backend.retired = server.retired;
+  backend.retired = entry.retired;
   backend.server_id = record.server_id;
   if (record.warmup_left_ms > 0) {
-    backend.cold_until = server.cold_until;
+    backend.cold_until = entry.cold_until;
     backend.cold_flows_per_second = coldFlowsPerSecond(record.service);
   }
   return backend;
--- a/src/discovery/backend_registry.h
+++ b/src/discovery/backend_registry.h
@@ -13,7 +13,7 @@
 
 namespace lugfork {
 
-/** Work that a BackendRegistry has done on its configuration. */
+/** Counts of the work that a BackendRegistry has done on its configuration. */
 struct BackendRegistryCounters {
   std::uint64_t updates = 0;
   std::uint64_t backends_built = 0;
@@ -22,190 +22,191 @@
 };
 
 /**
- * Servers: ready, draining, and those that are gone from the platform but may
- * still hold flows. Keeps the configuration that the data path decides by, and notes what must be
- * made anew in it: a change costs what has changed, however many servers there are.
+ * Backends that are ready, draining, or retired: deleted from the platform but possibly still
+ * holding flows. Maintains the configuration that the data path uses. Updates are incremental: the
+ * cost of an update depends on the number of changes, not on the number of backends.
  */
 class BackendRegistry {
  public:
-  /** @param retired_for time for which a server that is gone stays reachable for open flows. */
-  BackendRegistry(Duration retired_for, const TimeSource& time_source, EventLog& log);
+  /** @param retired_ttl time for which a retired backend stays reachable for open flows. */
+  BackendRegistry(Duration retired_ttl, const TimeSource& time_source, EventLog& log);
 
   /**
-   * Takes a server's newest record. A later start under a known key begins another run: what was
-   * seen of the server holds no longer. An earlier one is a write that came late, and is ignored.
+   * Applies a backend's newest record. A later start time under a known key begins a new
+   * incarnation: earlier observations of the backend no longer apply. A record with an earlier
+   * start time is a delayed write and is ignored.
    */
   void onBackend(const std::string& key, const BackendRecord& record, Revision revision,
                  Revision created);
 
-  /** The server's record is gone from the platform. */
+  /** The backend's record was deleted from the platform. */
   void onBackendDeleted(const std::string& key, Revision revision);
 
   /**
-   * The server's record can't be used, so that it names no server: the one that it named before
-   * keeps its open flows and gets nothing new until a record can be used again.
+   * The backend's record can't be decoded. The backend that it described before keeps its open
+   * flows and gets no new ones until a valid record arrives.
    */
   void onBackendUnreadable(const std::string& key, Revision revision);
 
   /**
-   * The server's record has vanished, perhaps only because the platform was away: the server goes
-   * on as it is until it is written again, found gone, or retireMissing().
+   * The backend's record is missing, possibly only because the platform was unavailable. The
+   * backend stays in use until its record is written again, its deletion is confirmed, another
+   * backend takes its address, or retireMissing() is called.
    */
   void onBackendMissing(const std::string& key, Revision revision);
 
-  /** Takes servers that are still missing for gone. @return true if the configuration changes. */
+  /** Retires backends that are still missing. @return true if the configuration changes. */
   bool retireMissing();
 
-  /** Takes the newest routes; an older version than the one in force is ignored. */
+  /** Applies the newest routes; a version older than the current one is ignored. */
   void onRoutes(RouteTable table, Revision revision);
 
-  /** Servers of the zone get no new flow until the item with that key is gone. */
+  /** Backends of the zone get no new flows until the item with that key is deleted. */
   void onZoneOutOfService(const std::string& key, const ZoneOutOfService& record,
                           Revision revision);
 
-  /** The item with that key is gone. @return true if it had taken a zone out of service. */
+  /** The item with that key was deleted. @return true if it had taken a zone out of service. */
   bool onZoneBackInService(const std::string& key, Revision revision);
 
   std::size_t zonesOutOfService() const { return zones_out_of_service_.size(); }
 
   /**
-   * While a first view is taken in, servers are not logged one by one; summary() and
-   * snapshotLines() tell them all.
+   * Enables a log line for each change of a backend's state. It is disabled while the first view is
+   * loaded; summary() and snapshotLines() then report all backends.
    */
-  void setLogsBackends(bool logs) { logs_servers_ = logs; }
+  void setLogsBackends(bool logs) { logs_backends_ = logs; }
 
-  /** Until endBatch() the states that change are collected, and not logged one by one. */
+  /** Until endBatch(), state changes are collected instead of logged one by one. */
   void beginBatch() { is_batch_ = true; }
 
   /** How a batch is logged. */
   enum class BatchLog {
-    /** All states, a few dozen servers to a line. */
+    /** All changed states, a few dozen backends to a line. */
     Lists,
-    /** How many have changed, and the digest of the view that they lead to. */
+    /** The number of changes and the digest of the resulting view. */
     Digest,
   };
   void endBatch(BatchLog form);
 
-  /** How many servers are known in which state. */
+  /** Number of backends by state. */
   struct Summary {
     std::uint64_t ready = 0;
     std::uint64_t draining = 0;
     std::uint64_t retired = 0;
-    /** Hash over the servers' keys and revisions: equal views have equal digests. */
+    /** Hash over the backends' keys and revisions: equal views have equal digests. */
     std::uint64_t digest = 0;
   };
   Summary summary() const;
 
-  /** @return all servers as "name=state", a few dozen to a line. */
+  /** @return all backends as "name=state", a few dozen to a line. */
   std::vector<std::string> snapshotLines() const;
 
   bool hasRoutes() const { return has_routes_; }
   std::uint64_t routesVersion() const { return routes_.version; }
 
-  /** Forgets servers that have been gone for long. @return true if the configuration changes. */
+  /** Removes backends whose retirement has expired. @return true if the configuration changes. */
   bool pruneRetired();
 
   /**
-   * Brings the configuration up to date with all that is known. It counts as a new version each
-   * time.
-   * @return how it has changed.
+   * Applies all pending changes to the configuration. Each call creates a new version.
+   * @return what has changed.
    */
   ConfigurationChanges updateConfiguration();
 
-  /** @return the configuration as of the last update; the same object at all times. */
+  /** @return the configuration as of the last update; always the same object. */
   ConfigurationViewPtr configuration() const { return configuration_; }
 
   const BackendRegistryCounters& counters() const { return counters_; }
 
  private:
-  struct Server {
+  struct Entry {
     BackendRecord record;
     BackendId id;
     Revision revision = 0;
     Revision created = 0;
-    /** Until then it is warming up, counted from when this balancer learnt of it. */
+    /** End of its warm-up, counted from when this balancer received the record. */
     MonotonicTime cold_until;
     bool retired = false;
     MonotonicTime retired_at;
-    /** Its record has vanished, at this revision; 0 where it has not. */
-    Revision missing_since = 0;
+    /** Revision at which its record was found missing; 0 if it isn't missing. */
+    Revision missing_at = 0;
   };
 
-  using ServersById = std::unordered_map<BackendId, std::vector<const std::string*>>;
+  using KeysById = std::unordered_map<BackendId, std::vector<const std::string*>>;
 
-  /** Takes missing servers at the address for gone: another server has it now. */
+  /** Retires missing backends at the address, since another backend uses it now. */
   void retireMissingAt(Endpoint address);
-  void retire(Server& server, Revision revision, const char* state = "retired");
-  /** @return true where the record is of an earlier run than the one that is known. */
-  bool isOfEarlierRun(const Server& server, const BackendRecord& record) const;
-  void noteRestart(const Server& server, const BackendRecord& record, Revision revision);
-  void nameServices();
-  /** @return true where the state is collected for the batch's lists. */
-  bool collectState(const Server& server, const char* state, Revision revision);
-
-  /** Notes that the back end with the server's id must be made anew. */
-  void touch(const Server& server) { touched_.insert(server.id); }
-  void touchColdServers();
-  /** Chooses the id by which tokens name the server, and indexes the server by it. */
-  void setId(const std::string& key, Server& server);
-  void indexId(const std::string& key, Server& server, BackendId id);
-  void forgetId(const std::string& key, BackendId id);
-  /** Gives those that another server keeps from their id a second one, which they keep. */
-  void resolveClash(BackendId id);
+  void retire(Entry& entry, Revision revision, const char* state = "retired");
+  /** @return true if the record belongs to an earlier incarnation than the known one. */
+  bool isOfEarlierIncarnation(const Entry& entry, const BackendRecord& record) const;
+  void detectRestart(const Entry& entry, const BackendRecord& record, Revision revision);
+  void addConfiguredServices();
+  /** @return true if the state was added to the current batch. */
+  bool collectState(const Entry& entry, const char* state, Revision revision);
+
+  /** Marks the backend with the entry's id to be rebuilt by the next update. */
+  void markChanged(const Entry& entry) { changed_ids_.insert(entry.id); }
+  void markColdBackendsChanged();
+  /** Chooses the id that tokens carry for the backend, and indexes the backend by it. */
+  void setId(const std::string& key, Entry& entry);
+  void indexId(const std::string& key, Entry& entry, BackendId id);
+  void unindexId(const std::string& key, BackendId id);
+  /** Assigns a permanent secondary id to backends whose primary id an older backend uses. */
+  void resolveIdCollision(BackendId id);
 
   void updateRoutes();
   void updateServices();
   void updateBackend(BackendId id, ConfigurationChanges& changes);
 
-  /** @return the key of the oldest server with an id in tokens; nullptr where none has it. */
+  /** @return the key of the oldest backend with a token id; nullptr if there is none. */
   const std::string* oldestOf(BackendId id) const;
-  /** @return that server; others with the id get no flows. */
-  const Server* ownerOf(BackendId id);
-  void reportClash(const Server& other, const Server& owner, const char* outcome);
+  /** @return that backend; others with the same id get no flows. */
+  const Entry* ownerOf(BackendId id);
+  void reportIdCollision(const Entry& other, const Entry& owner, const char* outcome);
   ServiceId serviceIdOf(const std::string& name);
   ZoneId zoneIdOf(const std::string& name);
   bool isOutOfService(const std::string& zone) const;
   std::vector<ZoneId> zonesInService() const;
-  Backend makeBackend(const Server& server);
-  /** @return new flows a second that a cold server of the service bears; 0 for no limit. */
+  Backend makeBackend(const Entry& entry);
+  /** @return limit of new flows per second for a cold backend of the service; 0 for none. */
   double coldFlowsPerSecond(const std::string& service) const;
   Route makeRoute(const RouteRecord& record);
 
-  /** @return true where a configuration has named the service, or none is known yet. */
-  bool isNamed(const std::string& service) const {
-    return !has_routes_ || named_services_.contains(service);
+  /** @return true if a configuration has named the service, or no configuration is known yet. */
+  bool isConfigured(const std::string& service) const {
+    return !has_routes_ || configured_services_.contains(service);
   }
 
-  const Duration retired_for_;
+  const Duration retired_ttl_;
   const TimeSource& time_source_;
   EventLog& log_;
-  std::map<std::string, Server> servers_;
-  /** Keys of the servers that have an id in tokens; nearly always one. */
-  ServersById keys_by_id_;
-  /** Keys of servers whose record has vanished. */
+  std::map<std::string, Entry> backends_;
+  /** Keys of the backends with a token id; more than one only after a collision. */
+  KeysById keys_by_id_;
+  /** Keys of backends whose record is missing. */
   std::set<std::string> missing_;
-  /** Names of the zones that are out of service, by the keys of their items. */
+  /** Names of the zones that are out of service, by item key. */
   std::map<std::string, std::string> zones_out_of_service_;
   RouteTable routes_;
   bool has_routes_ = false;
   /**
-   * Services that any configuration has named: only their servers are used. One that is named no
-   * longer keeps its open flows.
+   * Services that any configuration so far has named. Only their backends are used. A service that
+   * is no longer named stays in the set, so that its backends keep their open flows.
    */
-  std::set<std::string> named_services_;
+  std::set<std::string> configured_services_;
   std::map<std::string, ServiceId> service_ids_;
   std::map<std::string, ZoneId> zone_ids_;
-  std::set<std::uint64_t> reported_clashes_;
-  bool logs_servers_ = true;
+  std::set<std::uint64_t> reported_collisions_;
+  bool logs_backends_ = true;
   bool is_batch_ = false;
-  /** States that have changed in this batch, as "name=state". */
+  /** States that have changed in this batch, each as "name=state". */
   std::vector<std::string> batch_states_;
   Revision batch_revision_ = 0;
-  /** What has changed since the last update. */
-  std::unordered_set<BackendId> touched_;
-  std::unordered_set<BackendId> restarted_;
-  bool routes_touched_ = false;
-  bool services_touched_ = false;
+  /** Changes since the last update. */
+  std::unordered_set<BackendId> changed_ids_;
+  std::unordered_set<BackendId> restarted_ids_;
+  bool routes_changed_ = false;
+  bool services_changed_ = false;
   std::shared_ptr<LiveConfiguration> configuration_ = std::make_shared<LiveConfiguration>();
   BackendRegistryCounters counters_;
 };
--- a/src/discovery/platform_records.h
+++ b/src/discovery/platform_records.h
@@ -8,38 +8,41 @@
 #include "common/ids.h"
 #include "common/result.h"
 
-/** What a platform tells of routes and servers, in the product's own terms. */
+/** Typed records of routes, backends and zones, independent of the platform's format. */
 namespace lugfork {
 
-/** What a server says of itself. */
+/** State that a backend announces. */
 enum class BackendState : std::uint8_t { Ready, Draining, Last = Draining };
 
-/** A running server, as it announces itself. */
+/** A running backend, as it announces itself. */
 struct BackendRecord {
-  /** Its id on the platform; a server may start again under the same one. */
+  /** Its id on the platform; a backend may restart under the same id. */
   std::uint64_t server_id = 0;
   /**
-   * When it was started [Unix ms]; 0 where that is not told. A later start under one id is another
-   * run, which knows nothing of the earlier one's flows.
+   * Start time [Unix ms]; 0 if not given. A later start under the same id is a new incarnation,
+   * which has no state of the earlier one's flows.
    */
   std::uint64_t started_ms = 0;
-  /** The platform's text for the id, for logs. */
+  /** The platform's text form of the id, for logs. */
   std::string name;
   std::string service;
   Endpoint address;
   std::string zone;
-  /** Requests that it works on at a time. */
+  /** Number of requests that it processes concurrently. */
   std::uint32_t slots = 1;
   BackendState state = BackendState::Ready;
-  /** Time for which it is still slow after its start [ms]. */
+  /** Remaining warm-up time after its start [ms]. */
   std::uint32_t warmup_left_ms = 0;
-  /** The name is the end of the item's key; the start goes beside the record (record_codec.h). */
+  /**
+   * The name is the last part of the item's key; the start time is encoded next to the record
+   * (record_codec.h).
+   */
   auto fields() {
     return std::tie(server_id, service, address, zone, slots, state, warmup_left_ms);
   }
 };
 
-/** Service that takes a share of a route's new flows. */
+/** A service of a route, and its weight in the distribution of the route's new flows. */
 struct WeightedService {
   std::string service;
   std::uint32_t weight = 1;
@@ -49,32 +52,32 @@
 struct RouteRecord {
   Endpoint address;
   std::vector<WeightedService> services;
-  /** Callers send large requests. */
+  /** Clients send large requests. */
   bool bulk = false;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   std::uint32_t priority = 0;
-  /** Time within which an answer is of full use [ms]; 0 where that is not told. */
+  /** Target response time [ms]; 0 if not given. */
   std::uint32_t target_ms = 0;
-  /** Time after which the caller has given up [ms]; 0 where that is not told. */
+  /** Time after which the client gives up [ms]; 0 if not given. */
   std::uint32_t timeout_ms = 0;
-  /** Balancers from before the last three fields wrote the others only. */
+  /** The last three fields are missing in records of older balancer versions. */
   static constexpr std::size_t kRequiredFieldCount = 3;
   auto fields() { return std::tie(address, services, bulk, priority, target_ms, timeout_ms); }
 };
 
-/** A service that the configuration names, and what its servers bear while they are cold. */
+/** A service that the configuration names, and the limit of new flows for its cold backends. */
 struct ServiceWarmup {
   std::string service;
   /**
-   * New flows a minute, rounded down; a whole number, since records hold no fractions. 0 for no
-   * limit.
+   * New flows per minute and backend, rounded down to an integer since records hold no fractions.
+   * 0 for no limit.
    */
   std::uint32_t flows_per_minute = 0;
   auto fields() { return std::tie(service, flows_per_minute); }
   bool operator==(const ServiceWarmup&) const = default;
 };
 
-/** The operator's whole set of routes. */
+/** The complete set of configured routes. */
 struct RouteTable {
   std::uint64_t version = 0;
   std::vector<RouteRecord> routes;
@@ -84,20 +87,20 @@
 };
 
 /**
- * The operator has taken a zone out of service, for as long as the item is there: its servers get
- * no new flow, and open flows stay.
+ * A zone is out of service for as long as the item exists: its backends get no new flows and keep
+ * their open ones.
  */
 struct ZoneOutOfService {
   std::string zone;
   auto fields() { return std::tie(zone); }
 };
 
-/** Item of a kind that balancers have no use for. */
+/** An item of a kind that balancers don't use. */
 struct IrrelevantItem {
   auto fields() { return std::tie(); }
 };
 
-/** An item can't be read: why, in words. */
+/** The reason, as readable text, why an item can't be decoded. */
 struct RecordProblem {
   std::string text;
   auto fields() { return std::tie(text); }
@@ -106,8 +109,8 @@
 using PlatformRecord = std::variant<IrrelevantItem, BackendRecord, RouteTable, ZoneOutOfService>;
 
 /**
- * Reads the values of items. Each platform's adapter has one for what the platform writes; within
- * the fleet values have the compact form of wire/record_codec.h.
+ * Decodes the values of items. Each platform adapter has a decoder for the platform's format;
+ * between balancers, values have the compact form of wire/record_codec.h.
  */
 class RecordDecoder {
  public:
--- a/tests/discovery/backend_registry_test.cc
+++ b/tests/discovery/backend_registry_test.cc
@@ -10,10 +10,10 @@
 namespace lugfork {
 namespace {
 
-const Duration kRetiredFor = seconds(60);
+const Duration kRetiredTtl = seconds(60);
 
-BackendRecord server(std::uint64_t server_id, const std::string& service, Endpoint address,
-                     BackendState state = BackendState::Ready) {
+BackendRecord recordOf(std::uint64_t server_id, const std::string& service, Endpoint address,
+                       BackendState state = BackendState::Ready) {
   BackendRecord record;
   record.server_id = server_id;
   record.name = "i-" + std::to_string(server_id);
@@ -28,9 +28,9 @@
 struct RegistryHarness {
   ManualTimeSource time;
   NullEventLog log;
-  BackendRegistry registry{kRetiredFor, time, log};
+  BackendRegistry registry{kRetiredTtl, time, log};
 
-  ConfigurationViewPtr upToDate() {
+  ConfigurationViewPtr updatedConfiguration() {
     registry.updateConfiguration();
     return registry.configuration();
   }
@@ -40,10 +40,10 @@
   }
 };
 
-TEST_CASE("a route gives flows to its services by weight", "[backend_registry]") {
+TEST_CASE("a route distributes flows over its services by weight", "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onRoutes({7, {{kListen, {{"listen", 90}, {"ingest", 10}}}}}, 1);
-  const auto view = harness.upToDate();
+  const auto view = harness.updatedConfiguration();
   const Route* route = view->routeAt(kListen);
   REQUIRE(route != nullptr);
   CHECK(view->routeAt(kIngest) == nullptr);
@@ -54,19 +54,19 @@
   CHECK(counts == std::map<std::string, int>{{"ingest", 100}, {"listen", 900}});
 }
 
-TEST_CASE("a route without any weight serves nobody", "[backend_registry]") {
+TEST_CASE("a route without any weight selects no service", "[backend_registry]") {
   CHECK_FALSE(Route{kListen, {{ServiceId(1), 0}}}.serviceFor(5).has_value());
   CHECK_FALSE(Route{kListen, {}}.serviceFor(5).has_value());
 }
 
-TEST_CASE("a zone out of service is no allowed zone of any service", "[backend_registry]") {
+TEST_CASE("a zone out of service is not an allowed zone of any service", "[backend_registry]") {
   RegistryHarness harness;
-  BackendRecord in_ariana = server(2, "listen", addressOf(2));
+  BackendRecord in_ariana = recordOf(2, "listen", addressOf(2));
   in_ariana.zone = "ariana";
-  harness.registry.onBackend("a", server(1, "listen", addressOf(1)), 1, 1);
+  harness.registry.onBackend("a", recordOf(1, "listen", addressOf(1)), 1, 1);
   harness.registry.onBackend("b", in_ariana, 2, 2);
   const auto allowed = [&](std::uint64_t server_id) {
-    const auto view = harness.upToDate();
+    const auto view = harness.updatedConfiguration();
     const Backend* backend = harness.find(view, server_id);
     return view->service(backend->service)->allowsZone(backend->zone);
   };
@@ -80,19 +80,18 @@
   CHECK(allowed(1));
 }
 
-TEST_CASE("a server that is warming up has its service's limit until that is over",
-          "[backend_registry]") {
+TEST_CASE("a cold backend has its service's limit until its warm-up ends", "[backend_registry]") {
   RegistryHarness harness;
   RouteTable table{7, {{kListen, {{"listen", 1}}}}, {{"listen", 750}, {"ingest", 0}}};
-  BackendRecord cold = server(1, "listen", addressOf(1));
+  BackendRecord cold = recordOf(1, "listen", addressOf(1));
   cold.warmup_left_ms = 1500;
-  BackendRecord other = server(3, "ingest", addressOf(3));
+  BackendRecord other = recordOf(3, "ingest", addressOf(3));
   other.warmup_left_ms = 1500;
   harness.registry.onRoutes(table, 1);
   harness.registry.onBackend("a", cold, 2, 2);
-  harness.registry.onBackend("b", server(2, "listen", addressOf(2)), 3, 3);
+  harness.registry.onBackend("b", recordOf(2, "listen", addressOf(2)), 3, 3);
   harness.registry.onBackend("c", other, 4, 4);
-  const auto view = harness.upToDate();
+  const auto view = harness.updatedConfiguration();
   CHECK(harness.find(view, 1)->cold_flows_per_second == 12.5);
   CHECK(harness.find(view, 1)->cold_until == harness.time.monotonicTime() + milliseconds(1500));
   CHECK(harness.find(view, 2)->cold_flows_per_second == 0);
@@ -104,84 +103,88 @@
   harness.registry.onRoutes({7, {{kListen, {{"listen", 1}}}}}, 10);
   harness.registry.onRoutes({6, {{kIngest, {{"listen", 1}}}}}, 11);
   CHECK(harness.registry.routesVersion() == 7);
-  CHECK(harness.upToDate()->routeAt(kListen) != nullptr);
+  CHECK(harness.updatedConfiguration()->routeAt(kListen) != nullptr);
 }
 
-TEST_CASE("a missing server goes on until it is written again, retired or its address taken",
+TEST_CASE("a missing backend stays in use until it is rewritten, retired or its address is reused",
           "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 3, 3);
   harness.registry.onBackendMissing("backends/a", 9);
-  const auto is_retired = [&] { return harness.find(harness.upToDate(), 0xa)->retired; };
+  const auto is_retired = [&] {
+    return harness.find(harness.updatedConfiguration(), 0xa)->retired;
+  };
   CHECK_FALSE(is_retired());
-  SECTION("written again") {
-    harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 10, 10);
+  SECTION("its record is written again") {
+    harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 10, 10);
     CHECK_FALSE(harness.registry.retireMissing());
     CHECK_FALSE(is_retired());
   }
-  SECTION("still missing") {
+  SECTION("it is still missing") {
     CHECK(harness.registry.retireMissing());
     CHECK(is_retired());
   }
-  SECTION("found gone, and long forgotten when the missing ones are taken for gone") {
+  SECTION("it is deleted and already pruned when missing backends are retired") {
     harness.registry.onBackendDeleted("backends/a", 10);
     CHECK(is_retired());
-    harness.time.elapsed += kRetiredFor + seconds(1);
+    harness.time.elapsed += kRetiredTtl + seconds(1);
     CHECK(harness.registry.pruneRetired());
     CHECK_FALSE(harness.registry.retireMissing());
   }
-  SECTION("another server has its address") {
-    harness.registry.onBackend("backends/b", server(0xb, "ingest", addressOf(1)), 10, 10);
+  SECTION("another backend uses its address") {
+    harness.registry.onBackend("backends/b", recordOf(0xb, "ingest", addressOf(1)), 10, 10);
     CHECK(is_retired());
   }
 }
 
-TEST_CASE("a server that is gone stays reachable and gets nothing new", "[backend_registry]") {
+TEST_CASE("a deleted backend stays reachable for open flows and gets no new ones",
+          "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 3, 3);
   harness.registry.onBackendDeleted("backends/a", 9);
-  auto view = harness.upToDate();
+  auto view = harness.updatedConfiguration();
   const Backend* backend = harness.find(view, 0xa);
   REQUIRE(backend != nullptr);
   CHECK(backend->retired);
   CHECK(view->backendsOf(backend->service).empty());
   CHECK(view->backendAt(addressOf(1)) == nullptr);
 
-  harness.time.elapsed += kRetiredFor + seconds(1);
+  harness.time.elapsed += kRetiredTtl + seconds(1);
   CHECK(harness.registry.pruneRetired());
-  view = harness.upToDate();
+  view = harness.updatedConfiguration();
   CHECK(harness.find(view, 0xa) == nullptr);
 }
 
-TEST_CASE("a server that comes back to the platform is ready again", "[backend_registry]") {
+TEST_CASE("a deleted backend whose record is written again is no longer retired",
+          "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 3, 3);
   harness.registry.onBackendDeleted("backends/a", 9);
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 12, 12);
-  const auto view = harness.upToDate();
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 12, 12);
+  const auto view = harness.updatedConfiguration();
   CHECK_FALSE(harness.find(view, 0xa)->retired);
 }
 
-TEST_CASE("a draining server is kept as leaving", "[backend_registry]") {
+TEST_CASE("a draining backend is kept and marked as draining", "[backend_registry]") {
   RegistryHarness harness;
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 3, 3);
   harness.registry.onBackend("backends/a",
-                             server(0xa, "listen", addressOf(1), BackendState::Draining), 5, 3);
-  CHECK(harness.find(harness.upToDate(), 0xa)->draining);
+                             recordOf(0xa, "listen", addressOf(1), BackendState::Draining), 5, 3);
+  CHECK(harness.find(harness.updatedConfiguration(), 0xa)->draining);
 }
 
 BackendRecord startedAt(std::uint64_t started_ms, BackendState state = BackendState::Ready) {
-  BackendRecord record = server(0xa, "listen", addressOf(1), state);
+  BackendRecord record = recordOf(0xa, "listen", addressOf(1), state);
   record.started_ms = started_ms;
   return record;
 }
 
-TEST_CASE("a later start under a known id is told as a restart, once", "[backend_registry]") {
+TEST_CASE("a later start under a known id is reported as a restart once", "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onBackend("backends/a", startedAt(1000, BackendState::Draining), 3, 3);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
-  const bool has_gone = GENERATE(false, true);
-  if (has_gone) {
+  const bool is_deleted = GENERATE(false, true);
+  if (is_deleted) {
     harness.registry.onBackendDeleted("backends/a", 4);
   }
   harness.registry.onBackend("backends/a", startedAt(2000), 5, 3);
@@ -194,17 +197,17 @@
   CHECK(harness.registry.updateConfiguration().restarted.empty());
 }
 
-TEST_CASE("an earlier run never comes back, whatever is written late", "[backend_registry]") {
+TEST_CASE("a delayed record of an earlier incarnation is ignored", "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onBackend("backends/a", startedAt(2000), 3, 3);
   harness.registry.onBackend("backends/a", startedAt(1000, BackendState::Draining), 7, 3);
-  CHECK_FALSE(harness.find(harness.upToDate(), 0xa)->draining);
+  CHECK_FALSE(harness.find(harness.updatedConfiguration(), 0xa)->draining);
   harness.registry.onBackend("backends/a", startedAt(2000, BackendState::Draining), 8, 3);
-  CHECK(harness.find(harness.upToDate(), 0xa)->draining);
+  CHECK(harness.find(harness.updatedConfiguration(), 0xa)->draining);
   CHECK(harness.registry.updateConfiguration().restarted.empty());
 }
 
-TEST_CASE("a record without a start is of the run that is known", "[backend_registry]") {
+TEST_CASE("a record without a start time belongs to the known incarnation", "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onBackend("backends/a", startedAt(0), 2, 2);
   harness.registry.onBackend("backends/a", startedAt(2000), 3, 2);
@@ -212,37 +215,37 @@
   CHECK(harness.registry.updateConfiguration().restarted.empty());
   CHECK(harness.find(harness.registry.configuration(), 0xa)->draining);
   harness.registry.onBackend("backends/a", startedAt(1000), 5, 2);
-  CHECK(harness.find(harness.upToDate(), 0xa)->draining);
+  CHECK(harness.find(harness.updatedConfiguration(), 0xa)->draining);
 }
 
-TEST_CASE("a service that no configuration names takes no flow and no address",
+TEST_CASE("a backend of a service that no configuration names gets no flows and no address",
           "[backend_registry]") {
   RegistryHarness harness;
   harness.registry.onRoutes({7, {{kListen, {{"listen", 1}}}}, {{"ingest", 0}}}, 1);
-  harness.registry.onBackend("backends/a", server(0xa, "listen", addressOf(1)), 3, 3);
-  harness.registry.onBackend("backends/b", server(0xb, "elsewhere", addressOf(1)), 4, 4);
-  harness.registry.onBackend("backends/c", server(0xc, "ingest", addressOf(3)), 5, 5);
+  harness.registry.onBackend("backends/a", recordOf(0xa, "listen", addressOf(1)), 3, 3);
+  harness.registry.onBackend("backends/b", recordOf(0xb, "elsewhere", addressOf(1)), 4, 4);
+  harness.registry.onBackend("backends/c", recordOf(0xc, "ingest", addressOf(3)), 5, 5);
   harness.registry.onBackendDeleted("backends/a", 6);
-  auto view = harness.upToDate();
+  auto view = harness.updatedConfiguration();
   CHECK(harness.find(view, 0xa)->retired);
   CHECK(view->backendAt(addressOf(1)) == nullptr);
   CHECK(harness.find(view, 0xb) == nullptr);
   CHECK(harness.find(view, 0xc) != nullptr);
-  // Named by a later configuration, and kept for its open flows when none names it any more.
+  // A later configuration names the service. It is kept for its open flows after that.
   harness.registry.onRoutes({8, {{kListen, {{"elsewhere", 1}}}}}, 7);
-  CHECK(harness.find(harness.upToDate(), 0xb) != nullptr);
+  CHECK(harness.find(harness.updatedConfiguration(), 0xb) != nullptr);
   harness.registry.onRoutes({9, {{kListen, {{"listen", 1}}}}}, 8);
-  CHECK(harness.find(harness.upToDate(), 0xb) != nullptr);
+  CHECK(harness.find(harness.updatedConfiguration(), 0xb) != nullptr);
 }
 
-/** @return pairs of server ids that fold to the same id in tokens. */
-std::vector<std::pair<std::uint64_t, std::uint64_t>> clashingServers(std::size_t drawn) {
+/** @return pairs of platform ids that fold to the same token id. */
+std::vector<std::pair<std::uint64_t, std::uint64_t>> collidingIds(std::size_t drawn) {
   const auto random = makeSeededRandom(14);
-  std::unordered_map<BackendId, std::uint64_t> by_fold;
+  std::unordered_map<BackendId, std::uint64_t> by_token_id;
   std::vector<std::pair<std::uint64_t, std::uint64_t>> pairs;
   for (std::size_t index = 0; index < drawn; ++index) {
     const std::uint64_t id = random->next() >> 24;
-    const auto [known, is_new] = by_fold.try_emplace(backendIdOfServer(id), id);
+    const auto [known, is_new] = by_token_id.try_emplace(backendIdOfServer(id), id);
     if (!is_new && known->second != id) {
       pairs.emplace_back(known->second, id);
     }
@@ -250,15 +253,15 @@
   return pairs;
 }
 
-TEST_CASE("two servers whose ids fold alike both get flows, on all balancers alike",
+TEST_CASE("two backends whose ids collide both get flows, with the same ids on all balancers",
           "[backend_registry]") {
-  const auto pairs = clashingServers(250'000);
+  const auto pairs = collidingIds(250'000);
   REQUIRE(pairs.size() >= 3);
   for (const auto& [older, newer] : pairs) {
-    std::vector<BackendRecord> fleet = {server(older, "listen", addressOf(1)),
-                                        server(newer, "listen", addressOf(2))};
+    std::vector<BackendRecord> fleet = {recordOf(older, "listen", addressOf(1)),
+                                        recordOf(newer, "listen", addressOf(2))};
     for (std::uint32_t index = 0; index < 1000; ++index) {
-      fleet.push_back(server(0x100000 + index, "listen", addressOf(3 + index)));
+      fleet.push_back(recordOf(0x100000 + index, "listen", addressOf(3 + index)));
     }
     for (const bool newer_first : {false, true}) {
       RegistryHarness harness;
@@ -270,20 +273,22 @@
       for (const std::size_t index : order) {
         harness.registry.onBackend("backends/" + fleet[index].name, fleet[index], 10 + index,
                                    10 + index);
-        harness.upToDate();
+        harness.updatedConfiguration();
       }
-      const auto view = harness.upToDate();
+      const auto view = harness.updatedConfiguration();
       REQUIRE(harness.find(view, older) != nullptr);
       CHECK(harness.find(view, older)->server_id == older);
       const Backend* second = view->backend(secondBackendIdOfServer(newer));
       REQUIRE(second != nullptr);
       CHECK(second->server_id == newer);
       CHECK(view->backendsOf(second->service).size() == fleet.size());
-      // The newer one keeps its id after the older one is forgotten: its open flows go on.
+      // The newer backend keeps its secondary id after the older one is pruned, so that its open
+      // flows continue.
       harness.registry.onBackendDeleted("backends/" + fleet[0].name, 5000);
-      harness.time.elapsed += kRetiredFor + seconds(1);
+      harness.time.elapsed += kRetiredTtl + seconds(1);
       harness.registry.pruneRetired();
-      CHECK(harness.upToDate()->backend(secondBackendIdOfServer(newer))->server_id == newer);
+      CHECK(harness.updatedConfiguration()->backend(secondBackendIdOfServer(newer))->server_id ==
+            newer);
     }
   }
 }
