--- a/src/discovery/evidence_collector.cc
+++ b/src/discovery/evidence_collector.cc
@@ -65,7 +65,7 @@
     noteLife(alive.backend, fromWireAge(now, alive.age_ms));
   }
   if (isAboutItself(report)) {
-    ++counters_.reports_left_out;
+    ++counters_.reports_excluded;
     leaveOut(from);
     return;
   }
@@ -75,8 +75,8 @@
 }
 
 bool EvidenceCollector::isAboutItself(const EvidenceReport& report) const {
-  return report.servers_in_use >= settings_.servers_to_judge &&
-         report.servers_silent > settings_.max_silent_share * report.servers_in_use;
+  return report.servers_in_use >= settings_.min_backends_in_use &&
+         report.servers_silent > settings_.max_silent_fraction * report.servers_in_use;
 }
 
 void EvidenceCollector::leaveOut(Endpoint reporter) {
@@ -91,7 +91,7 @@
 void EvidenceCollector::noteSilence(const ServerSilence& silent, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
   const MonotonicTime attempt_at = fromWireAge(now, silent.attempt_age_ms);
-  if (attempt_at == MonotonicTime() || now - attempt_at > settings_.fresh_for) {
+  if (attempt_at == MonotonicTime() || now - attempt_at > settings_.report_ttl) {
     return;
   }
   if (silent.life_age_ms != kNeverMilliseconds) {
@@ -105,20 +105,20 @@
   server.life_at = std::max(server.life_at, life_at);
 }
 
-void EvidenceCollector::forgetOld() {
+void EvidenceCollector::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
   for (auto& entry : servers_) {
     Server& server = entry.second;
     std::erase_if(server.by_reporter, [&](const auto& reported) {
       const Seen& seen = reported.second;
-      return now - seen.attempt_at > settings_.fresh_for || seen.attempt_at < server.life_at;
+      return now - seen.attempt_at > settings_.report_ttl || seen.attempt_at < server.life_at;
     });
   }
   std::erase_if(servers_, [&](const auto& entry) {
-    return entry.second.by_reporter.empty() && now - entry.second.life_at > settings_.fresh_for;
+    return entry.second.by_reporter.empty() && now - entry.second.life_at > settings_.report_ttl;
   });
   std::erase_if(subscribers_, [&](const auto& entry) {
-    return now - entry.second.reported_at > settings_.subscription;
+    return now - entry.second.reported_at > settings_.subscription_ttl;
   });
 }
 
@@ -140,8 +140,8 @@
   for (auto& [backend, server] : servers_) {
     MonotonicTime attempt_at;
     const SummedSilence summed = sum(backend, server, attempt_at);
-    const bool is_later = attempt_at - server.told_attempt_at >= settings_.repeat_after;
-    const bool shows_life = server.life_at - server.told_life_at >= settings_.digest_gap;
+    const bool is_later = attempt_at - server.told_attempt_at >= settings_.repeat_interval;
+    const bool shows_life = server.life_at - server.told_life_at >= settings_.min_digest_interval;
     if (decisiveOf(summed) != decisiveOf(server.told) || is_later || shows_life) {
       server.version = ++version_;
       server.told = summed;
@@ -151,15 +151,15 @@
   }
 }
 
-void EvidenceCollector::tell() {
-  forgetOld();
+void EvidenceCollector::sendDigests() {
+  removeExpired();
   noteChanges();
   for (auto& [to, subscriber] : subscribers_) {
-    tell(to, subscriber);
+    sendDigest(to, subscriber);
   }
 }
 
-void EvidenceCollector::tell(Endpoint to, Subscriber& subscriber) {
+void EvidenceCollector::sendDigest(Endpoint to, Subscriber& subscriber) {
   EvidenceDigest digest;
   const bool has_news = subscriber.version < version_;
   if (!(has_news || subscriber.owes_answer) || !mayTell(subscriber)) {
@@ -188,7 +188,8 @@
   subscriber.bytes_left =
       std::min(settings_.burst_bytes, subscriber.bytes_left + waited * settings_.bytes_per_second);
   subscriber.bytes_counted_at = now;
-  return now - subscriber.told_at >= settings_.digest_gap && subscriber.bytes_left >= kLeastBytes;
+  return now - subscriber.told_at >= settings_.min_digest_interval &&
+         subscriber.bytes_left >= kLeastBytes;
 }
 
 std::uint64_t EvidenceCollector::addNewerThan(std::uint64_t version, std::size_t most,
--- a/src/discovery/evidence_collector.h
+++ b/src/discovery/evidence_collector.h
@@ -14,18 +14,18 @@
 struct EvidenceCollectorSettings {
   /** Time after the last unanswered attempt for which a report counts: callers give up after 2 s.
    */
-  Duration fresh_for = milliseconds(1500);
+  Duration report_ttl = milliseconds(1500);
   /** Largest share of the servers near a reporter that it may name; else its own path is at fault.
    */
-  double max_silent_share = 0.5;
+  double max_silent_fraction = 0.5;
   /** Servers in use from which that share is judged: of one or two, all may be silent. */
-  std::size_t servers_to_judge = 3;
+  std::size_t min_backends_in_use = 3;
   /** Time after its last report for which a balancer gets digests. */
-  Duration subscription = seconds(5);
+  Duration subscription_ttl = seconds(5);
   /** Shortest time between two digests to one balancer. */
-  Duration digest_gap = milliseconds(200);
+  Duration min_digest_interval = milliseconds(200);
   /** A server that is still silent is sent again after this long, before receivers forget it. */
-  Duration repeat_after = milliseconds(700);
+  Duration repeat_interval = milliseconds(700);
   /** Bytes a second to one balancer, and at once: with its reports under a kilobyte a second. */
   double bytes_per_second = 450;
   double burst_bytes = 600;
@@ -37,7 +37,7 @@
 struct EvidenceCollectorCounters {
   std::uint64_t reports = 0;
   /** Reports that named too many servers to be about them. */
-  std::uint64_t reports_left_out = 0;
+  std::uint64_t reports_excluded = 0;
   std::uint64_t digests = 0;
 };
 
@@ -57,17 +57,17 @@
         log_(log),
         send_(std::move(send)) {}
 
-  /** Takes a report of a balancer of the same zone; the next tell() answers it. */
+  /** Takes a report of a balancer of the same zone; the next sendDigests() answers it. */
   void onReport(const EvidenceReport& report, Endpoint from);
 
   /** Takes what this node itself has seen. */
-  void onOwnReport(const EvidenceReport& report) { take(report, Endpoint()); }
+  void onLocalReport(const EvidenceReport& report) { take(report, Endpoint()); }
 
   /** Tells subscribers what has changed; to be called several times a second. */
-  void tell();
+  void sendDigests();
 
   /** Forgets what is too old to count; to be called where nothing is told. */
-  void forgetOld();
+  void removeExpired();
 
   /** @return all that is known now, for this node itself. */
   EvidenceDigest digest() const;
@@ -111,7 +111,7 @@
   void noteLife(BackendId backend, MonotonicTime life_at);
   void noteChanges();
   SummedSilence sum(BackendId backend, const Server& server, MonotonicTime& attempt_at) const;
-  void tell(Endpoint to, Subscriber& subscriber);
+  void sendDigest(Endpoint to, Subscriber& subscriber);
   /** Adds what is newer than the version, the oldest change first. @return the last one's version.
    */
   std::uint64_t addNewerThan(std::uint64_t version, std::size_t most, EvidenceDigest& digest) const;
--- a/src/discovery/evidence_exchange.cc
+++ b/src/discovery/evidence_exchange.cc
@@ -34,10 +34,10 @@
     report();
   }
   if (collector_.hasSubscribers()) {
-    collector_.tell();
+    collector_.sendDigests();
     shared_.onDigest(collector_.digest());
   } else {
-    collector_.forgetOld();
+    collector_.removeExpired();
     shared_.refresh();
   }
 }
@@ -47,7 +47,7 @@
   if (!report) {
     return;
   }
-  collector_.onOwnReport(*report);
+  collector_.onLocalReport(*report);
   const MonotonicTime now = time_source_.monotonicTime();
   for (const Endpoint to : recipients()) {
     Candidate& candidate = candidates_[to];
@@ -59,7 +59,7 @@
 }
 
 std::vector<Endpoint> EvidenceExchange::recipients() {
-  forgetOld();
+  removeExpired();
   std::vector<Endpoint> chosen;
   std::size_t collectors = 0;
   std::size_t unknown = 0;
@@ -69,7 +69,7 @@
       counted_self = true;
       ++collectors;
     }
-    if (collectors >= settings_.collectors) {
+    if (collectors >= settings_.collector_count) {
       break;
     }
     const Endpoint to{peer.address, port_};
@@ -81,7 +81,7 @@
     if (is_known && known->second.answered_at != MonotonicTime()) {
       ++collectors;
       chosen.push_back(to);
-    } else if (unknown < settings_.unknown_at_once) {
+    } else if (unknown < settings_.max_unknown_recipients) {
       ++unknown;
       chosen.push_back(to);
     }
@@ -96,18 +96,18 @@
 
 bool EvidenceExchange::isSilent(const Candidate& candidate) const {
   return candidate.asked_at != MonotonicTime() &&
-         time_source_.monotonicTime() - candidate.asked_at > settings_.answer_patience;
+         time_source_.monotonicTime() - candidate.asked_at > settings_.answer_timeout;
 }
 
-void EvidenceExchange::forgetOld() {
+void EvidenceExchange::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
   std::erase_if(candidates_, [&](const auto& entry) {
     const Candidate& candidate = entry.second;
     const bool is_old = candidate.answered_at != MonotonicTime() &&
-                        now - candidate.answered_at > settings_.zone_lifetime;
+                        now - candidate.answered_at > settings_.zone_ttl;
     const bool was_left_alone =
         candidate.asked_at != MonotonicTime() &&
-        now - candidate.asked_at > settings_.answer_patience + settings_.unanswered_for;
+        now - candidate.asked_at > settings_.answer_timeout + settings_.unanswered_cooldown;
     return is_old || was_left_alone;
   });
 }
@@ -121,7 +121,7 @@
 
 void EvidenceExchange::onReport(const EvidenceReport& report, Endpoint from) {
   if (report.zone != reporter_.zone()) {
-    ++counters_.reports_of_other_zones;
+    ++counters_.reports_from_other_zones;
     send_(from, EvidenceDigest{reporter_.zone(), 0, {}, {}});
     return;
   }
@@ -134,7 +134,7 @@
   candidate.asked_at = MonotonicTime();
   candidate.is_of_own_zone = digest.zone == reporter_.zone();
   if (!candidate.is_of_own_zone) {
-    ++counters_.digests_of_other_zones;
+    ++counters_.digests_from_other_zones;
     return;
   }
   ++counters_.digests_received;
--- a/src/discovery/evidence_exchange.h
+++ b/src/discovery/evidence_exchange.h
@@ -22,16 +22,16 @@
   Duration interval = milliseconds(100);
   /**
    * Balancers of the own zone that sum for this one. A second one would halve the news that fits
-   * into the bytes; without it news pauses for `answer_patience` when the one stops.
+   * into the bytes; without it news pauses for `answer_timeout` when the one stops.
    */
-  std::size_t collectors = 1;
+  std::size_t collector_count = 1;
   /** Balancers whose zone is not known yet that get one report; their answers name their zone. */
-  std::size_t unknown_at_once = 4;
+  std::size_t max_unknown_recipients = 4;
   /** Time after which a balancer that did not answer a report is left alone, and for how long. */
-  Duration answer_patience = seconds(1);
-  Duration unanswered_for = seconds(5);
+  Duration answer_timeout = seconds(1);
+  Duration unanswered_cooldown = seconds(5);
   /** Time for which a balancer's zone is remembered. */
-  Duration zone_lifetime = seconds(60);
+  Duration zone_ttl = seconds(60);
   /** Bytes a second of reports over all collectors, and at once. */
   double bytes_per_second = 350;
   double burst_bytes = 500;
@@ -42,8 +42,8 @@
   std::uint64_t reports_sent = 0;
   std::uint64_t digests_received = 0;
   /** Messages from other zones, not used: evidence holds for the zone that it was seen from. */
-  std::uint64_t reports_of_other_zones = 0;
-  std::uint64_t digests_of_other_zones = 0;
+  std::uint64_t reports_from_other_zones = 0;
+  std::uint64_t digests_from_other_zones = 0;
 };
 
 /**
@@ -87,7 +87,7 @@
   void report();
   /** @return who gets reports: the best of the own zone, and some whose zone is not known. */
   std::vector<Endpoint> recipients();
-  void forgetOld();
+  void removeExpired();
   bool isSilent(const Candidate& candidate) const;
   /** @return true for those that did not answer, and those of other zones. */
   bool isUseless(const Candidate& candidate) const;
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -227,11 +227,11 @@
   };
   add_messages("report_sent", counters.reports_sent);
   add_messages("report_received", summed.reports);
-  add_messages("report_left_out", summed.reports_left_out);
-  add_messages("report_of_other_zone", counters.reports_of_other_zones);
+  add_messages("report_left_out", summed.reports_excluded);
+  add_messages("report_of_other_zone", counters.reports_from_other_zones);
   add_messages("digest_sent", summed.digests);
   add_messages("digest_received", counters.digests_received);
-  add_messages("digest_of_other_zone", counters.digests_of_other_zones);
+  add_messages("digest_of_other_zone", counters.digests_from_other_zones);
   const char* suspects = "Servers that look silent, by who has seen it.";
   page.addGauge("lugfork_suspect_servers", suspects, static_cast<double>(node.suspectsBySelf()),
                 {{"seen_by", "self"}});
--- a/tests/discovery/evidence_collector_test.cc
+++ b/tests/discovery/evidence_collector_test.cc
@@ -31,7 +31,7 @@
   std::optional<EvidenceDigest> told(Endpoint to) {
     sent.clear();
     time.elapsed += milliseconds(200);
-    collector.tell();
+    collector.sendDigests();
     const auto found = sent.find(to);
     return found == sent.end() ? std::nullopt : std::optional<EvidenceDigest>(found->second);
   }
@@ -77,7 +77,7 @@
   EvidenceReport overloaded = reportOf({5, 6, 7, 8, 9, 10});
   overloaded.servers_silent = 6;
   harness.collector.onReport(overloaded, kFirst);
-  CHECK(harness.collector.counters().reports_left_out == 1);
+  CHECK(harness.collector.counters().reports_excluded == 1);
   const auto digest = harness.told(kFirst);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 1);
@@ -108,7 +108,7 @@
   harness.collector.onReport(reportOf({6}, 1501), kFirst);
   CHECK(harness.collector.digest().silent.size() == 1);
   harness.time.elapsed += milliseconds(1500);
-  harness.collector.tell();
+  harness.collector.sendDigests();
   CHECK(harness.collector.digest().silent.empty());
 }
 
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -376,13 +376,13 @@
     for (std::uint16_t index = 0; index < kNodes; ++index) {
       if (const auto report = nodes_[index]->reporter.next()) {
         if (index == 0) {
-          collector_.onOwnReport(*report);
+          collector_.onLocalReport(*report);
         } else {
           collector_.onReport(*report, {kCaller.address, index});
         }
       }
     }
-    collector_.tell();
+    collector_.sendDigests();
     nodes_[0]->shared.onDigest(collector_.digest());
     for (const auto& node : nodes_) {
       node->shared.refresh();
