--- a/src/discovery/freshness_budget.cc
+++ b/src/discovery/freshness_budget.cc
@@ -4,18 +4,17 @@
 
 namespace lugfork {
 
-Duration FreshnessBudget::latestAskAge() const {
-  return std::max(Duration::zero(), in_force_within - store_answer);
+Duration FreshnessBudget::maxProbeAge() const {
+  return std::max(Duration::zero(), max_propagation_delay - store_answer_time);
 }
 
-Duration FreshnessBudget::longestSpread() const {
-  return std::max(Duration::zero(), latestAskAge() - fresh_for - poll_interval);
+Duration FreshnessBudget::maxSpread() const {
+  return std::max(Duration::zero(), maxProbeAge() - max_fresh_age - poll_interval);
 }
 
-Duration FreshnessBudget::askAge(double share, Duration spread) const {
-  const double later =
-      (1.0 - share) * static_cast<double>(std::min(spread, longestSpread()).count());
-  return latestAskAge() - Duration(static_cast<std::int64_t>(later));
+Duration FreshnessBudget::probeAge(double share, Duration spread) const {
+  const double later = (1.0 - share) * static_cast<double>(std::min(spread, maxSpread()).count());
+  return maxProbeAge() - Duration(static_cast<std::int64_t>(later));
 }
 
 }  // namespace lugfork
--- a/src/discovery/freshness_budget.h
+++ b/src/discovery/freshness_budget.h
@@ -12,29 +12,29 @@
  */
 struct FreshnessBudget {
   /** From the store's acknowledgement of a change until it must be in force. */
-  Duration in_force_within = seconds(6);
+  Duration max_propagation_delay = seconds(6);
   /**
    * Age up to which an upstream's view is fresh: the longest watch of a store that answers, eighty
    * times slower than usual, and a poll.
    */
-  Duration fresh_for = milliseconds(1500);
+  Duration max_fresh_age = milliseconds(1500);
   /** Pause between two polls, in which a fresh view grows older. */
   Duration poll_interval = milliseconds(400);
   /** Left for the store: two answers in a row from one that is eighty times slower than usual. */
-  Duration store_answer = milliseconds(800);
+  Duration store_answer_time = milliseconds(800);
 
   /** @return age of what is known at which the last balancer of the fleet asks the store. */
-  Duration latestAskAge() const;
+  Duration maxProbeAge() const;
 
   /** @return time over which the fleet's calls to the store may be spread at most. */
-  Duration longestSpread() const;
+  Duration maxSpread() const;
 
   /**
    * @param share place of a balancer in the fleet's order, from 0 to 1.
    * @param spread time over which the fleet's calls are spread.
    * @return age of what is known at which this balancer asks the store, whatever else it waits for.
    */
-  Duration askAge(double share, Duration spread) const;
+  Duration probeAge(double share, Duration spread) const;
 };
 
 }  // namespace lugfork
--- a/src/discovery/hedged_reads.cc
+++ b/src/discovery/hedged_reads.cc
@@ -27,7 +27,7 @@
       read->callback(answer);
     }
   });
-  scheduler_.callAfter(settings_.hedge_after, [this, read] { send(read); });
+  scheduler_.callAfter(settings_.hedge_delay, [this, read] { send(read); });
 }
 
 }  // namespace lugfork
--- a/src/discovery/hedged_reads.h
+++ b/src/discovery/hedged_reads.h
@@ -13,7 +13,7 @@
    * Silence after which the same read is sent once more: longer than a slow store takes for an
    * answer (4 ms, sixty times slower), much shorter than the time limit of a call.
    */
-  Duration hedge_after = milliseconds(300);
+  Duration hedge_delay = milliseconds(300);
   /** Sends of one read at most. */
   std::uint32_t max_sends = 5;
 };
--- a/src/discovery/probe_schedule.cc
+++ b/src/discovery/probe_schedule.cc
@@ -12,7 +12,7 @@
       directory_(directory),
       time_source_(time_source) {}
 
-void ProbeSchedule::onTold(std::uint32_t age_ms) {
+void ProbeSchedule::onStateReceived(std::uint32_t age_ms) {
   told_at_ = std::max(told_at_, time_source_.monotonicTime() - milliseconds(age_ms));
 }
 
@@ -27,7 +27,7 @@
   onStoreCalled();
 }
 
-bool ProbeSchedule::isTurn() {
+bool ProbeSchedule::isProbeDue() {
   const auto whole = static_cast<double>(spread().count());
   const Duration own_delay(static_cast<std::int64_t>(ownShare() * whole));
   return old_since_ && time_source_.monotonicTime() - *old_since_ >= own_delay;
@@ -35,22 +35,22 @@
 
 Duration ProbeSchedule::untilDeadline() {
   const Duration age = time_source_.monotonicTime() - told_at_;
-  return settings_.budget.askAge(ownShare(), spread()) - age;
+  return settings_.budget.probeAge(ownShare(), spread()) - age;
 }
 
 bool ProbeSchedule::mayProbe() {
-  const Duration interval = std::max(settings_.store_interval, 2 * spread());
+  const Duration interval = std::max(settings_.store_retry_interval, 2 * spread());
   return !store_failing_ || sinceStoreCall() >= interval;
 }
 
 bool ProbeSchedule::mayWatch() const {
-  return !store_failing_ || sinceStoreCall() >= settings_.store_interval;
+  return !store_failing_ || sinceStoreCall() >= settings_.store_retry_interval;
 }
 
 Duration ProbeSchedule::spread() {
-  const double crowd = std::max(0.0, directory_.fleetSize() - settings_.uncrowded_fleet);
+  const double crowd = std::max(0.0, directory_.fleetSize() - settings_.unspread_fleet_size);
   const std::chrono::duration<double> wanted(crowd / settings_.probes_per_second);
-  const std::chrono::duration<double> longest(settings_.budget.longestSpread());
+  const std::chrono::duration<double> longest(settings_.budget.maxSpread());
   return std::chrono::duration_cast<Duration>(std::min(wanted, longest));
 }
 
--- a/src/discovery/probe_schedule.h
+++ b/src/discovery/probe_schedule.h
@@ -11,14 +11,14 @@
 struct ProbeScheduleSettings {
   FreshnessBudget budget;
   /** Shortest time between two calls to a store that does not answer this balancer. */
-  Duration store_interval = seconds(1);
+  Duration store_retry_interval = seconds(1);
   /**
    * Calls a second that the whole fleet may make to find out whether the store has news that no
    * upstream has; a small part of the store's rate.
    */
   double probes_per_second = 80;
   /** Balancers that may call the store at once without being a crowd. */
-  double uncrowded_fleet = 16;
+  double unspread_fleet_size = 16;
 };
 
 /**
@@ -32,7 +32,7 @@
                 const TimeSource& time_source);
 
   /** This balancer was told what the store knew so long ago [ms]. */
-  void onTold(std::uint32_t age_ms);
+  void onStateReceived(std::uint32_t age_ms);
   /** An upstream had a fresh view, or none had. */
   void onFreshUpstream() { old_since_.reset(); }
   void onNoFreshUpstream();
@@ -42,7 +42,7 @@
   void onStoreError();
 
   /** @return true once it is this balancer's turn, counted from the first poll without a view. */
-  bool isTurn();
+  bool isProbeDue();
   /** @return time until the view is so old that the store must be called; negative after it. */
   Duration untilDeadline();
   /** @return false where the store does not answer and was called lately. */
--- a/src/discovery/timed_source.h
+++ b/src/discovery/timed_source.h
@@ -15,7 +15,7 @@
       : source_(source), time_source_(time_source) {}
 
   /** Sets what is called with the time of each read that got an answer of any kind. */
-  void setTimeCallback(TimeCallback callback) { on_read_ = std::move(callback); }
+  void setReadTimeCallback(TimeCallback callback) { on_read_ = std::move(callback); }
 
   void readPage(const PageRequest& request, PageCallback callback) override {
     const MonotonicTime started_at = time_source_.monotonicTime();
--- a/src/discovery/upstream_source.cc
+++ b/src/discovery/upstream_source.cc
@@ -35,8 +35,8 @@
   if (peers_ != nullptr) {
     first_view_ = std::make_unique<FirstViewReader>(settings_.first_view, own_address_, directory_,
                                                     *peers_, scheduler_, time_source_);
-    poller_ = std::make_unique<UpstreamPoller>(settings_.poll, settings_.probes.budget.fresh_for,
-                                               directory_, *peers_);
+    poller_ = std::make_unique<UpstreamPoller>(
+        settings_.poll, settings_.probes.budget.max_fresh_age, directory_, *peers_);
   }
 }
 
@@ -57,7 +57,7 @@
                       }
                       ++counters_.views_from_balancers;
                       caught_up_ = true;
-                      schedule_.onTold(view->status.age_ms);
+                      schedule_.onStateReceived(view->status.age_ms);
                       callback(toPage(std::move(*view)));
                     });
 }
@@ -82,7 +82,7 @@
     if (answer || !peersMayHelp(answer.error())) {
       schedule_.onStoreAnswer();
       if (!std::exchange(race->is_over, true)) {
-        schedule_.onTold(0);
+        schedule_.onStateReceived(0);
         race->callback(answer);
       }
       return;
@@ -118,7 +118,7 @@
     directory_.onTold(result.view->peers);
     ++counters_.views_from_balancers;
     caught_up_ = true;
-    schedule_.onTold(result.view->status.age_ms);
+    schedule_.onStateReceived(result.view->status.age_ms);
     setUpstream(Upstream::StandIn, result.upstream, "the store gives no page");
     race->callback(toPage(*result.view));
   });
@@ -177,7 +177,7 @@
     finishWithoutStore(watch);
     return;
   }
-  const bool is_due = schedule_.isTurn() || schedule_.untilDeadline() <= Duration::zero();
+  const bool is_due = schedule_.isProbeDue() || schedule_.untilDeadline() <= Duration::zero();
   if (is_due && schedule_.mayProbe()) {
     probeStore(watch, "no upstream has a fresh view");
     return;
@@ -222,7 +222,7 @@
     }
     store_until_ = time_source_.monotonicTime() + settings_.store_stay;
     setUpstream(Upstream::Store, Endpoint(), cause);
-    schedule_.onTold(changes ? changes.value().age_ms : 0);
+    schedule_.onStateReceived(changes ? changes.value().age_ms : 0);
     answer(watch, changes);
   });
 }
@@ -258,7 +258,7 @@
       if (answer && !std::exchange(caught_up_, true)) {
         announceView(answer.value().at);
       }
-      schedule_.onTold(answer ? answer.value().age_ms : 0);
+      schedule_.onStateReceived(answer ? answer.value().age_ms : 0);
       setUpstream(Upstream::Store, Endpoint(), "it answers");
       callback(answer);
       return;
@@ -344,7 +344,7 @@
 
 Result<ItemChanges, SourceError> UpstreamSource::changesOf(const PollResult& result) {
   const PeerView& view = *result.view;
-  schedule_.onTold(view.status.age_ms);
+  schedule_.onStateReceived(view.status.age_ms);
   counters_.polls_with_changes += view.changes.empty() ? 0 : 1;
   if (view.is_whole) {
     // Not asked for; the read that follows asks for it.
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -93,7 +93,7 @@
       [this](const std::string& prefix) { return node_.follower().view().keysUnder(prefix); });
   connectPeers();
   connectEvidence();
-  store_.setTimeCallback([this](Duration duration) { metrics_.onStoreRead(duration); });
+  store_.setReadTimeCallback([this](Duration duration) { metrics_.onStoreRead(duration); });
   node_.setProcessorClock(processor_clock_);
   node_.setResponseCallback([this](Duration duration) { metrics_.onResponse(duration); });
   node_.setHandshakeCallback([this](Duration duration) { metrics_.onHandshake(duration); });
--- a/tests/discovery/freshness_budget_test.cc
+++ b/tests/discovery/freshness_budget_test.cc
@@ -8,12 +8,12 @@
 TEST_CASE("the parts of a change's way add up to its bound", "[freshness_budget]") {
   const Duration bound = GENERATE(seconds(3), seconds(5), seconds(6), seconds(11));
   FreshnessBudget budget;
-  budget.in_force_within = bound;
+  budget.max_propagation_delay = bound;
   const Duration parts =
-      budget.fresh_for + budget.poll_interval + budget.longestSpread() + budget.store_answer;
+      budget.max_fresh_age + budget.poll_interval + budget.maxSpread() + budget.store_answer_time;
   CHECK(parts == bound);
-  CHECK(budget.askAge(1.0, budget.longestSpread()) == budget.latestAskAge());
-  CHECK(budget.askAge(0.0, budget.longestSpread()) == budget.fresh_for + budget.poll_interval);
+  CHECK(budget.probeAge(1.0, budget.maxSpread()) == budget.maxProbeAge());
+  CHECK(budget.probeAge(0.0, budget.maxSpread()) == budget.max_fresh_age + budget.poll_interval);
 }
 
 TEST_CASE("balancers ask the store in their order, none after the latest age",
@@ -22,20 +22,20 @@
   const FreshnessBudget budget;
   Duration before{};
   for (const double share : {0.0, 0.25, 0.5, 0.75, 1.0}) {
-    const Duration age = budget.askAge(share, spread);
+    const Duration age = budget.probeAge(share, spread);
     CHECK(age >= before);
-    CHECK(age <= budget.latestAskAge());
-    CHECK(age >= budget.latestAskAge() - spread);
+    CHECK(age <= budget.maxProbeAge());
+    CHECK(age >= budget.maxProbeAge() - spread);
     before = age;
   }
 }
 
 TEST_CASE("a bound shorter than the store's answer leaves no time to wait", "[freshness_budget]") {
   FreshnessBudget budget;
-  budget.in_force_within = milliseconds(500);
-  CHECK(budget.latestAskAge() == Duration::zero());
-  CHECK(budget.longestSpread() == Duration::zero());
-  CHECK(budget.askAge(0.5, seconds(3)) == Duration::zero());
+  budget.max_propagation_delay = milliseconds(500);
+  CHECK(budget.maxProbeAge() == Duration::zero());
+  CHECK(budget.maxSpread() == Duration::zero());
+  CHECK(budget.probeAge(0.5, seconds(3)) == Duration::zero());
 }
 
 }  // namespace
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -32,7 +32,7 @@
 
 UpstreamSourceSettings settings() {
   UpstreamSourceSettings settings;
-  settings.probes.budget.in_force_within = kInForceWithin;
+  settings.probes.budget.max_propagation_delay = kInForceWithin;
   return settings;
 }
 
--- a/tests/discovery/probe_schedule_test.cc
+++ b/tests/discovery/probe_schedule_test.cc
@@ -27,24 +27,24 @@
 TEST_CASE("a small fleet's turn is at once, and only while no upstream is fresh",
           "[probe_schedule]") {
   ScheduleHarness harness;
-  CHECK_FALSE(harness.schedule.isTurn());
+  CHECK_FALSE(harness.schedule.isProbeDue());
   harness.schedule.onNoFreshUpstream();
-  CHECK(harness.schedule.isTurn());
+  CHECK(harness.schedule.isProbeDue());
   harness.schedule.onFreshUpstream();
-  CHECK_FALSE(harness.schedule.isTurn());
+  CHECK_FALSE(harness.schedule.isProbeDue());
 }
 
 TEST_CASE("the deadline counts from what was told, and never goes back", "[probe_schedule]") {
   ScheduleHarness harness;
   harness.time.elapsed += seconds(10);
-  harness.schedule.onTold(0);
-  const Duration latest = harness.settings.budget.latestAskAge();
+  harness.schedule.onStateReceived(0);
+  const Duration latest = harness.settings.budget.maxProbeAge();
   CHECK(harness.schedule.untilDeadline() == latest);
   harness.time.elapsed += seconds(1);
   CHECK(harness.schedule.untilDeadline() == latest - seconds(1));
-  harness.schedule.onTold(5000);
+  harness.schedule.onStateReceived(5000);
   CHECK(harness.schedule.untilDeadline() == latest - seconds(1));
-  harness.schedule.onTold(300);
+  harness.schedule.onStateReceived(300);
   CHECK(harness.schedule.untilDeadline() == latest - milliseconds(300));
 }
 
@@ -53,7 +53,7 @@
   harness.schedule.onStoreError();
   CHECK_FALSE(harness.schedule.mayProbe());
   CHECK_FALSE(harness.schedule.mayWatch());
-  harness.time.elapsed += harness.settings.store_interval;
+  harness.time.elapsed += harness.settings.store_retry_interval;
   CHECK(harness.schedule.mayProbe());
   CHECK(harness.schedule.mayWatch());
   harness.schedule.onStoreCalled();
@@ -65,7 +65,7 @@
 TEST_CASE("a large fleet probes a store that does not answer more rarely", "[probe_schedule]") {
   ScheduleHarness harness(98);
   harness.schedule.onStoreError();
-  harness.time.elapsed += harness.settings.store_interval;
+  harness.time.elapsed += harness.settings.store_retry_interval;
   CHECK(harness.schedule.mayWatch());
   CHECK_FALSE(harness.schedule.mayProbe());
   harness.time.elapsed += seconds(2);
--- a/tests/discovery/upstream_poller_test.cc
+++ b/tests/discovery/upstream_poller_test.cc
@@ -28,7 +28,7 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   PeerDirectory directory{{}, balancer(9), {}, time, *random};
   UpstreamPollSettings settings;
-  UpstreamPoller poller{settings, FreshnessBudget().fresh_for, directory, peers};
+  UpstreamPoller poller{settings, FreshnessBudget().max_fresh_age, directory, peers};
   std::optional<PollResult> result;
 };
 
--- a/tests/discovery/upstream_source_test.cc
+++ b/tests/discovery/upstream_source_test.cc
@@ -204,7 +204,7 @@
           "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
-  const Duration deadline = FreshnessBudget().latestAskAge();
+  const Duration deadline = FreshnessBudget().maxProbeAge();
   const std::size_t store_calls = harness.store.watch_requests.size();
   harness.peers.tells(kFirst, {written("a", 7)}, 7);
   harness.peers.answers_after = seconds(9);
@@ -263,7 +263,7 @@
   const std::size_t store_calls = harness.store.watch_requests.size();
   harness.peers.answers_after = seconds(9);
   harness.watch();
-  harness.scheduler.advance(FreshnessBudget().latestAskAge() - milliseconds(1400));
+  harness.scheduler.advance(FreshnessBudget().maxProbeAge() - milliseconds(1400));
   CHECK(harness.store.watch_requests.size() == store_calls + 1);
 }
 
@@ -283,7 +283,7 @@
     harness.poll();
     CHECK(harness.answer.has_value());
     CHECK(harness.store.watch_requests.size() == store_calls);
-    harness.scheduler.advance(harness.settings.probes.store_interval);
+    harness.scheduler.advance(harness.settings.probes.store_retry_interval);
     harness.poll();
     CHECK(harness.store.watch_requests.size() == store_calls + 1);
   }
@@ -368,7 +368,7 @@
     CHECK(harness.answer.has_value());
     CHECK(harness.store.watch_requests.size() == store_calls);
 
-    harness.scheduler.advance(harness.settings.probes.store_interval);
+    harness.scheduler.advance(harness.settings.probes.store_retry_interval);
     watch();
     REQUIRE(harness.store.hasWatch(kPrefix));
     CHECK(harness.store.watch_requests.back().wait == harness.settings.store_probe_wait);
