--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -237,14 +237,14 @@
 }
 BENCHMARK(measureDecodeView)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
 
-KnownPeer peerOf(std::uint32_t number) {
+PeerInfo peerOf(std::uint32_t number) {
   return {{0x0c000000 + number, 8000}, linkClassOf(number % 50 == 0 ? 200 : 10)};
 }
 
 struct DirectoryHarness {
   DirectoryHarness() {
     for (std::uint32_t number = 1; number < kBalancers; ++number) {
-      directory.onShown(peerOf(number));
+      directory.onContact(peerOf(number));
     }
   }
   SettableTime time;
@@ -254,12 +254,12 @@
 
 void measurePeersTold(benchmark::State& state) {
   DirectoryHarness harness;
-  std::vector<KnownPeer> told;
+  std::vector<PeerInfo> told;
   for (std::uint32_t number = 1; number <= 100; ++number) {
     told.push_back(peerOf(number * 2));
   }
   for (auto _ : state) {
-    harness.directory.onTold(told);
+    harness.directory.onPeersReported(told);
   }
 }
 BENCHMARK(measurePeersTold)->Unit(benchmark::kMicrosecond);
@@ -268,7 +268,7 @@
   DirectoryHarness harness;
   std::uint32_t number = 0;
   for (auto _ : state) {
-    harness.directory.onShown(peerOf(++number % kBalancers));
+    harness.directory.onContact(peerOf(++number % kBalancers));
   }
 }
 BENCHMARK(measurePeerShown)->Unit(benchmark::kMicrosecond);
--- a/src/discovery/first_view_reader.cc
+++ b/src/discovery/first_view_reader.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-FirstViewReader::FirstViewReader(FirstViewSettings settings, Endpoint own_address,
+FirstViewReader::FirstViewReader(FirstViewReaderSettings settings, Endpoint own_address,
                                  PeerDirectory& directory, PeerClient& peers, Scheduler& scheduler,
                                  const TimeSource& time_source)
     : settings_(settings),
@@ -44,7 +44,7 @@
   }
   if (read->candidates.empty()) {
     refill(read);
-    scheduler_.callAfter(settings_.pause, [this, read] { askNext(read); });
+    scheduler_.callAfter(settings_.retry_delay, [this, read] { askNext(read); });
     return;
   }
   const Endpoint peer = read->candidates.front();
@@ -53,7 +53,7 @@
 }
 
 void FirstViewReader::ask(const ReadPtr& read, Endpoint peer) {
-  peers_.readView(peer, 0, settings_.patience,
+  peers_.readView(peer, 0, settings_.answer_timeout,
                   [this, read, peer](Result<PeerView, PeerRefusal> answer) {
                     onAnswer(read, peer, std::move(answer));
                   });
@@ -62,8 +62,8 @@
 void FirstViewReader::onAnswer(const ReadPtr& read, Endpoint peer,
                                Result<PeerView, PeerRefusal> answer) {
   if (answer) {
-    directory_.onAlive(peer);
-    directory_.onTold(answer.value().peers);
+    directory_.onAnswer(peer);
+    directory_.onPeersReported(answer.value().peers);
     if (milliseconds(answer.value().status.age_ms) <= settings_.max_age) {
       read->callback(std::move(answer.value()));
       return;
@@ -75,7 +75,7 @@
   const PeerRefusal& refusal = answer.error();
   if (refusal.cause != SourceError::NoAnswer) {
     read->was_refused = true;
-    directory_.onAlive(peer);
+    directory_.onAnswer(peer);
   }
   if (refusal.cause == SourceError::Unavailable) {
     // Else balancers without a view were asked again and again, before a seed that has one.
@@ -94,14 +94,13 @@
 void FirstViewReader::refill(const ReadPtr& read) {
   const std::vector<Endpoint> seeds = directory_.shuffledSeeds();
   read->candidates.assign(seeds.begin(), seeds.end());
-  if (const auto peer = directory_.pick()) {
+  if (const auto peer = directory_.pickRandom()) {
     read->candidates.push_back(*peer);
   }
 }
 
 bool FirstViewReader::isTimeForStore(const Read& read) const {
-  const Duration limit =
-      read.was_refused ? settings_.store_after_refusals : settings_.store_after_silence;
+  const Duration limit = read.was_refused ? settings_.refusal_timeout : settings_.silence_timeout;
   return time_source_.monotonicTime() - read.started_at >= limit + own_delay_;
 }
 
--- a/src/discovery/first_view_reader.h
+++ b/src/discovery/first_view_reader.h
@@ -11,12 +11,12 @@
 namespace lugfork {
 
 /** Tunables of a FirstViewReader. */
-struct FirstViewSettings {
+struct FirstViewReaderSettings {
   /** A balancer that gives no sign for this long is passed over (a few round trips and a resend).
    */
-  Duration patience = milliseconds(120);
+  Duration answer_timeout = milliseconds(120);
   /** Pause before the same balancers are asked again. */
-  Duration pause = milliseconds(40);
+  Duration retry_delay = milliseconds(40);
   /** Views older than this are not taken: the store may know better [see also UpstreamSource]. */
   Duration max_age = milliseconds(1800);
   /**
@@ -24,8 +24,8 @@
    * but have no view. A fleet that starts together is up within half a second (chosen: enough for
    * the slowest to be heard).
    */
-  Duration store_after_silence = milliseconds(400);
-  Duration store_after_refusals = milliseconds(1000);
+  Duration silence_timeout = milliseconds(400);
+  Duration refusal_timeout = milliseconds(1000);
   /** Added to that, in proportion to the own rank, so that the fleet does not come all at once. */
   Duration store_spread = milliseconds(1500);
   /**
@@ -44,7 +44,7 @@
   /** Gets the view, or nothing where the store is to be read. */
   using Callback = std::function<void(std::optional<PeerView>)>;
 
-  FirstViewReader(FirstViewSettings settings, Endpoint own_address, PeerDirectory& directory,
+  FirstViewReader(FirstViewReaderSettings settings, Endpoint own_address, PeerDirectory& directory,
                   PeerClient& peers, Scheduler& scheduler, const TimeSource& time_source);
 
   /** @param first balancers to ask before the seeds. */
@@ -67,7 +67,7 @@
   void refill(const ReadPtr& read);
   bool isTimeForStore(const Read& read) const;
 
-  const FirstViewSettings settings_;
+  const FirstViewReaderSettings settings_;
   /** Part of the spread that falls on this balancer. */
   const Duration own_delay_;
   PeerDirectory& directory_;
--- a/src/discovery/peer_client.h
+++ b/src/discovery/peer_client.h
@@ -12,17 +12,17 @@
 LinkClass linkClassOf(double megabits_per_second);
 
 /** Another balancer, as balancers tell each other of it. */
-struct KnownPeer {
-  KnownPeer() = default;
+struct PeerInfo {
+  PeerInfo() = default;
   /** Where nothing is known of the link, it counts as slow. */
-  KnownPeer(Endpoint control_address, LinkClass link_class = 0)
+  PeerInfo(Endpoint control_address, LinkClass link_class = 0)
       : address(control_address), link(link_class) {}
 
   /** Its control address. */
   Endpoint address;
   LinkClass link = 0;
   auto fields() { return std::tie(address, link); }
-  bool operator==(const KnownPeer&) const = default;
+  bool operator==(const PeerInfo&) const = default;
 };
 
 /** How new another balancer's view is. */
@@ -46,7 +46,7 @@
   /** Nothing is known of the time before: these are all items that exist. */
   bool is_whole = false;
   /** Balancers that the other one knows; only told with a whole view. */
-  std::vector<KnownPeer> peers;
+  std::vector<PeerInfo> peers;
 };
 
 /** Why another balancer did not tell its view. */
@@ -63,15 +63,14 @@
   virtual ~PeerClient() = default;
 
   using ViewCallback = std::function<void(Result<PeerView, PeerRefusal>)>;
-  using PeersCallback = std::function<void(Result<std::vector<KnownPeer>, SourceError>)>;
+  using PeersCallback = std::function<void(Result<std::vector<PeerInfo>, SourceError>)>;
 
   /**
    * Reads what the peer's view holds beyond a revision.
    * @param after 0 for the whole view.
-   * @param patience time without any sign of the peer after which it counts as silent.
+   * @param timeout time without any sign of the peer after which it counts as silent.
    */
-  virtual void readView(Endpoint peer, Revision after, Duration patience,
-                        ViewCallback callback) = 0;
+  virtual void readView(Endpoint peer, Revision after, Duration timeout, ViewCallback callback) = 0;
 
   /** Shows this balancer to a peer and asks which others it knows. */
   virtual void exchangePeers(Endpoint peer, PeersCallback callback) = 0;
--- a/src/discovery/peer_directory.cc
+++ b/src/discovery/peer_directory.cc
@@ -6,7 +6,7 @@
 
 namespace lugfork {
 
-PeerDirectory::PeerDirectory(PeerDirectorySettings settings, KnownPeer self,
+PeerDirectory::PeerDirectory(PeerDirectorySettings settings, PeerInfo self,
                              std::vector<Endpoint> seeds, const TimeSource& time_source,
                              RandomGenerator& random)
     : settings_(settings),
@@ -18,22 +18,22 @@
       random_(random) {
   std::erase(seeds_, self_.address);
   for (const Endpoint& seed : seeds_) {
-    ranked_seeds_.insert(RankedPeer(KnownPeer(seed)));
+    ranked_seeds_.insert(RankedPeer(PeerInfo(seed)));
   }
 }
 
-void PeerDirectory::onAlive(Endpoint peer) {
+void PeerDirectory::onAnswer(Endpoint peer) {
   quarantined_until_.erase(peer);
   add({peer, linkOf(peer)});
 }
 
-void PeerDirectory::onShown(const KnownPeer& peer) {
+void PeerDirectory::onContact(const PeerInfo& peer) {
   quarantined_until_.erase(peer.address);
   add(peer);
 }
 
-void PeerDirectory::onTold(const std::vector<KnownPeer>& peers) {
-  for (const KnownPeer& peer : peers) {
+void PeerDirectory::onPeersReported(const std::vector<PeerInfo>& peers) {
+  for (const PeerInfo& peer : peers) {
     ++peers_visited_;
     if (heard_.contains(peer.address)) {
       // What others tell never refreshes what is known: a dead peer would be told for ever.
@@ -51,11 +51,11 @@
 }
 
 void PeerDirectory::onUnavailable(Endpoint peer) {
-  unavailable_until_[peer] = time_source_.monotonicTime() + settings_.short_quarantine;
+  unavailable_until_[peer] = time_source_.monotonicTime() + settings_.unavailable_quarantine;
   forgetFrom(unavailable_until_[peer]);
 }
 
-void PeerDirectory::onShowsView(Endpoint peer) {
+void PeerDirectory::onViewReported(Endpoint peer) {
   const MonotonicTime now = time_source_.monotonicTime();
   const auto [entry, is_new] = view_shown_at_.try_emplace(peer, now);
   if (!is_new) {
@@ -63,11 +63,11 @@
     entry->second = now;
   }
   shown_views_.insert({now, peer});
-  forgetFrom(now + settings_.view_shown_for);
+  forgetFrom(now + settings_.view_ttl);
 }
 
-std::vector<Endpoint> PeerDirectory::withView(std::size_t limit) {
-  forgetOld();
+std::vector<Endpoint> PeerDirectory::peersWithView(std::size_t limit) {
+  removeExpired();
   std::vector<Endpoint> peers;
   for (const ShownView& shown : shown_views_) {
     if (peers.size() == limit) {
@@ -81,8 +81,8 @@
   return peers;
 }
 
-std::optional<Endpoint> PeerDirectory::pick() {
-  forgetOld();
+std::optional<Endpoint> PeerDirectory::pickRandom() {
+  removeExpired();
   if (heard_.size() > 0) {
     const auto place = static_cast<std::ptrdiff_t>(random_.below(heard_.size()));
     return std::next(heard_.byAddress().begin(), place)->first;
@@ -93,8 +93,8 @@
   return seeds_[random_.below(seeds_.size())];
 }
 
-std::vector<Endpoint> PeerDirectory::recent() {
-  forgetOld();
+std::vector<Endpoint> PeerDirectory::recentPeers() {
+  removeExpired();
   std::vector<Endpoint> peers;
   for (const auto& [peer, heard] : heard_.byAddress()) {
     peers.push_back(peer);
@@ -102,14 +102,14 @@
   return peers;
 }
 
-bool PeerDirectory::knowsPeers() {
-  forgetOld();
+bool PeerDirectory::hasPeers() {
+  removeExpired();
   return heard_.size() > 0;
 }
 
-std::vector<KnownPeer> PeerDirectory::toTell(std::size_t limit) {
-  forgetOld();
-  std::vector<KnownPeer> told;
+std::vector<PeerInfo> PeerDirectory::peersToReport(std::size_t limit) {
+  removeExpired();
+  std::vector<PeerInfo> told;
   told.reserve(std::min(limit, heard_.size() + 1));
   if (self_.address.isSet()) {
     told.push_back(self_);
@@ -133,7 +133,7 @@
 }
 
 std::vector<Endpoint> PeerDirectory::ranked(std::size_t limit) {
-  forgetOld();
+  removeExpired();
   std::vector<Endpoint> peers;
   const auto take = [&](const RankedPeer& peer) {
     ++peers_visited_;
@@ -176,8 +176,8 @@
     const std::uint64_t content[] = {key, rank};
     return XXH3_64bits(content, sizeof(content));
   };
-  forgetOld();
-  if (heard_.size() >= settings_.size && !isKeptByOthers()) {
+  removeExpired();
+  if (heard_.size() >= settings_.max_peers && !isKeptByOthers()) {
     return false;
   }
   const std::uint64_t own_weight = weight(own_rank_);
@@ -200,7 +200,8 @@
 }
 
 const RankedPeer* PeerDirectory::lastOfFastest() const {
-  const std::size_t count = std::min({settings_.fastest, settings_.size / 2, heard_.size()});
+  const std::size_t count =
+      std::min({settings_.max_fast_peers, settings_.max_peers / 2, heard_.size()});
   peers_visited_ += count;
   return count == 0
              ? nullptr
@@ -225,8 +226,8 @@
 }
 
 double PeerDirectory::fleetSize() {
-  forgetOld();
-  if (heard_.size() < settings_.size) {
+  removeExpired();
+  if (heard_.size() < settings_.max_peers) {
     return static_cast<double>(heard_.size()) + 1;
   }
   // All peers up to the highest rank that was kept for its rank are known.
@@ -251,7 +252,7 @@
   return found != unavailable_until_.end() && time_source_.monotonicTime() <= found->second;
 }
 
-void PeerDirectory::forgetOld() {
+void PeerDirectory::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
   if (now <= forget_from_) {
     return;
@@ -260,14 +261,14 @@
   forgetOldQuarantines(quarantined_until_);
   forgetOldQuarantines(unavailable_until_);
   peers_visited_ += heard_.size();
-  const MonotonicTime first_heard = heard_.eraseBefore(now - settings_.lifetime);
+  const MonotonicTime first_heard = heard_.eraseBefore(now - settings_.peer_ttl);
   if (heard_.size() > 0) {
-    forgetFrom(first_heard + settings_.lifetime);
+    forgetFrom(first_heard + settings_.peer_ttl);
   }
   while (!shown_views_.empty()) {
     const ShownView oldest = *shown_views_.rbegin();
-    if (now - oldest.at <= settings_.view_shown_for) {
-      forgetFrom(oldest.at + settings_.view_shown_for);
+    if (now - oldest.at <= settings_.view_ttl) {
+      forgetFrom(oldest.at + settings_.view_ttl);
       break;
     }
     view_shown_at_.erase(oldest.peer);
@@ -283,15 +284,15 @@
   }
 }
 
-void PeerDirectory::add(const KnownPeer& peer) {
+void PeerDirectory::add(const PeerInfo& peer) {
   if (peer.address == self_.address || !peer.address.isSet()) {
     return;
   }
-  forgetOld();
+  removeExpired();
   const MonotonicTime now = time_source_.monotonicTime();
   heard_.put(peer, now);
-  forgetFrom(now + settings_.lifetime);
-  if (heard_.size() > settings_.size) {
+  forgetFrom(now + settings_.peer_ttl);
+  if (heard_.size() > settings_.max_peers) {
     evictHighestRank();
   }
 }
--- a/src/discovery/peer_directory.h
+++ b/src/discovery/peer_directory.h
@@ -20,23 +20,23 @@
    * are kept. As many as one datagram tells, which tells the size of a larger fleet to about a
    * tenth.
    */
-  std::size_t size = 100;
+  std::size_t max_peers = 100;
   /** Time after which a peer that was not heard of is forgotten. */
-  Duration lifetime = seconds(60);
+  Duration peer_ttl = seconds(60);
   /** Time for which a peer that failed is not taken back on the word of others. */
   Duration quarantine = seconds(30);
   /**
    * Time for which a peer that answers but has no view, or an old one, is no upstream: it has just
    * started, is about to stop, or the store does not answer it.
    */
-  Duration short_quarantine = seconds(2);
+  Duration unavailable_quarantine = seconds(2);
   /** Time for which a peer that has shown a view is sure to have it still. */
-  Duration view_shown_for = seconds(2);
+  Duration view_ttl = seconds(2);
   /**
    * Peers with the fastest links that are remembered whatever their rank: more than watch the store
    * in a fleet of 2,700.
    */
-  std::size_t fastest = 16;
+  std::size_t max_fast_peers = 16;
 };
 
 /**
@@ -46,17 +46,17 @@
  */
 class PeerDirectory {
  public:
-  PeerDirectory(PeerDirectorySettings settings, KnownPeer self, std::vector<Endpoint> seeds,
+  PeerDirectory(PeerDirectorySettings settings, PeerInfo self, std::vector<Endpoint> seeds,
                 const TimeSource& time_source, RandomGenerator& random);
 
   /** A peer has answered this node. */
-  void onAlive(Endpoint peer);
+  void onAnswer(Endpoint peer);
 
   /** A peer has shown itself: it asked this node, and told its link. */
-  void onShown(const KnownPeer& peer);
+  void onContact(const PeerInfo& peer);
 
   /** Another node told of these peers. */
-  void onTold(const std::vector<KnownPeer>& peers);
+  void onPeersReported(const std::vector<PeerInfo>& peers);
 
   /** A peer did not answer, or not well: it is forgotten and stays in quarantine for a while. */
   void onFailed(Endpoint peer);
@@ -68,22 +68,22 @@
   void onUnavailable(Endpoint peer);
 
   /** A peer has shown that it has a view. */
-  void onShowsView(Endpoint peer);
+  void onViewReported(Endpoint peer);
 
   /** @return peers that have shown a view lately, the last first. */
-  std::vector<Endpoint> withView(std::size_t limit);
+  std::vector<Endpoint> peersWithView(std::size_t limit);
 
   /** @return a random peer that was heard of lately, or a seed; nothing where there is none. */
-  std::optional<Endpoint> pick();
+  std::optional<Endpoint> pickRandom();
 
   /** @return the peers heard of lately. */
-  std::vector<Endpoint> recent();
+  std::vector<Endpoint> recentPeers();
 
   /** @return true where a peer was heard of lately. */
-  bool knowsPeers();
+  bool hasPeers();
 
   /** @return this balancer and the peers heard of lately, the best upstreams first. */
-  std::vector<KnownPeer> toTell(std::size_t limit);
+  std::vector<PeerInfo> peersToReport(std::size_t limit);
 
   /** @return seeds in a random order, to ask first. */
   std::vector<Endpoint> shuffledSeeds();
@@ -125,11 +125,11 @@
     }
   };
 
-  void forgetOld();
+  void removeExpired();
   /** Notes that something will be old from a time on. */
   void forgetFrom(MonotonicTime time) { forget_from_ = std::min(forget_from_, time); }
   void forgetOldQuarantines(std::map<Endpoint, MonotonicTime>& quarantines);
-  void add(const KnownPeer& peer);
+  void add(const PeerInfo& peer);
   void evictHighestRank();
   /** @return the last of the peers with the fastest links, which are never evicted; or nullptr. */
   const RankedPeer* lastOfFastest() const;
@@ -144,7 +144,7 @@
   bool isUnavailable(Endpoint peer) const;
 
   const PeerDirectorySettings settings_;
-  const KnownPeer self_;
+  const PeerInfo self_;
   const PeerRank own_rank_;
   std::vector<Endpoint> seeds_;
   /** The seeds as peers of unknown links, the lowest rank first. */
--- a/src/discovery/peer_exchange.cc
+++ b/src/discovery/peer_exchange.cc
@@ -22,7 +22,7 @@
 
 void PeerExchange::exchangeWithSeed() {
   const std::vector<Endpoint> seeds = directory_.shuffledSeeds();
-  const std::optional<Endpoint> peer = seeds.empty() ? directory_.pick() : seeds.front();
+  const std::optional<Endpoint> peer = seeds.empty() ? directory_.pickRandom() : seeds.front();
   if (peer) {
     exchangeWith(*peer);
   }
@@ -30,7 +30,7 @@
 
 void PeerExchange::exchangeAfter(Duration delay) {
   scheduler_.callAfter(delay, [this] {
-    if (const auto peer = directory_.pick()) {
+    if (const auto peer = directory_.pickRandom()) {
       exchangeWith(*peer);
     }
     exchangeAfter(settings_.interval);
@@ -39,13 +39,13 @@
 
 void PeerExchange::exchangeWith(Endpoint peer) {
   client_.exchangePeers(peer,
-                        [this, peer](const Result<std::vector<KnownPeer>, SourceError>& answer) {
+                        [this, peer](const Result<std::vector<PeerInfo>, SourceError>& answer) {
                           if (!answer) {
                             directory_.onFailed(peer);
                             return;
                           }
-                          directory_.onAlive(peer);
-                          directory_.onTold(answer.value());
+                          directory_.onAnswer(peer);
+                          directory_.onPeersReported(answer.value());
                         });
 }
 
--- a/src/discovery/ranked_peers.cc
+++ b/src/discovery/ranked_peers.cc
@@ -19,7 +19,7 @@
   return left.rank == right.rank ? left.address < right.address : left.rank < right.rank;
 }
 
-void RankedPeers::put(const KnownPeer& peer, MonotonicTime at) {
+void RankedPeers::put(const PeerInfo& peer, MonotonicTime at) {
   const auto known = by_address_.find(peer.address);
   if (known != by_address_.end()) {
     known->second.at = at;
--- a/src/discovery/ranked_peers.h
+++ b/src/discovery/ranked_peers.h
@@ -18,7 +18,7 @@
 /** A peer with all that its places in the orders depend on. */
 struct RankedPeer {
   RankedPeer() = default;
-  explicit RankedPeer(const KnownPeer& peer)
+  explicit RankedPeer(const PeerInfo& peer)
       : address(peer.address), link(peer.link), rank(peerRank(peer.address)) {}
 
   Endpoint address;
@@ -51,7 +51,7 @@
   using ByAddress = std::map<Endpoint, Heard>;
 
   /** Adds a peer, or takes its new link and time. */
-  void put(const KnownPeer& peer, MonotonicTime at);
+  void put(const PeerInfo& peer, MonotonicTime at);
 
   /** Takes a peer's link; when it was heard of stays as it is. */
   void setLink(Endpoint address, LinkClass link);
--- a/src/discovery/upstream_poller.cc
+++ b/src/discovery/upstream_poller.cc
@@ -46,7 +46,7 @@
     return;
   }
   poll->was_answered = true;
-  directory_.onAlive(upstream);
+  directory_.onAnswer(upstream);
   const PeerView& view = answer.value();
   const bool is_newer = !poll->best.view || view.status.age_ms < poll->best.view->status.age_ms;
   if (is_newer) {
--- a/src/discovery/upstream_selector.cc
+++ b/src/discovery/upstream_selector.cc
@@ -37,7 +37,7 @@
   // One more than there are watchers: this balancer may be one of them.
   const std::vector<Endpoint> ranked = directory_.ranked(watcherCount() + 1);
   // Whoever has shown a view goes first: at a start the lowest ranks may not have one yet.
-  std::vector<Endpoint> balancers = directory_.withView(kShownViews);
+  std::vector<Endpoint> balancers = directory_.peersWithView(kShownViews);
   for (const Endpoint& balancer : rotated(ranked)) {
     if (std::find(balancers.begin(), balancers.end(), balancer) == balancers.end()) {
       balancers.push_back(balancer);
--- a/src/discovery/upstream_source.cc
+++ b/src/discovery/upstream_source.cc
@@ -47,7 +47,7 @@
     readStore(request, std::move(callback));
     return;
   }
-  const bool knows_fleet = directory_.knowsPeers();
+  const bool knows_fleet = directory_.hasPeers();
   const auto first = knows_fleet ? selector_.upstreams() : std::vector<Endpoint>();
   first_view_->read(first,
                     [this, request, callback = std::move(callback)](std::optional<PeerView> view) {
@@ -66,7 +66,7 @@
   if (peers_ == nullptr) {
     return true;
   }
-  const bool knows_fleet = directory_.knowsPeers();
+  const bool knows_fleet = directory_.hasPeers();
   if (knows_fleet) {
     return selector_.upstreams().empty();
   }
@@ -115,7 +115,7 @@
       return;
     }
     race->is_over = true;
-    directory_.onTold(result.view->peers);
+    directory_.onPeersReported(result.view->peers);
     ++counters_.views_from_balancers;
     caught_up_ = true;
     schedule_.onStateReceived(result.view->status.age_ms);
@@ -276,7 +276,7 @@
     peers_->readView(seed, position, settings_.poll.patience,
                      [this, seed](const Result<PeerView, PeerRefusal>& answer) {
                        if (answer) {
-                         directory_.onAlive(seed);
+                         directory_.onAnswer(seed);
                        }
                      });
   }
--- a/src/discovery/upstream_source.h
+++ b/src/discovery/upstream_source.h
@@ -13,7 +13,7 @@
 
 /** Tunables of an UpstreamSource. */
 struct UpstreamSourceSettings {
-  FirstViewSettings first_view;
+  FirstViewReaderSettings first_view;
   UpstreamPollSettings poll;
   /** When the store is called; its budget also sets the pause between polls. */
   ProbeScheduleSettings probes;
--- a/src/discovery/view_client.cc
+++ b/src/discovery/view_client.cc
@@ -4,7 +4,7 @@
 
 namespace lugfork {
 
-ViewClient::ViewClient(ViewClientSettings settings, KnownPeer self, std::uint16_t port, Send send,
+ViewClient::ViewClient(ViewClientSettings settings, PeerInfo self, std::uint16_t port, Send send,
                        Scheduler& scheduler, const TimeSource& time_source, RandomGenerator& random)
     : settings_(settings),
       self_(self),
--- a/src/discovery/view_client.h
+++ b/src/discovery/view_client.h
@@ -39,7 +39,7 @@
    * @param self this balancer, as others are to know it.
    * @param port of the datagrams, the same for all balancers of a fleet.
    */
-  ViewClient(ViewClientSettings settings, KnownPeer self, std::uint16_t port, Send send,
+  ViewClient(ViewClientSettings settings, PeerInfo self, std::uint16_t port, Send send,
              Scheduler& scheduler, const TimeSource& time_source, RandomGenerator& random);
 
   /** @param peer the balancer's control address. */
@@ -93,7 +93,7 @@
   PendingView* findPending(std::uint64_t id, Endpoint from);
 
   const ViewClientSettings settings_;
-  const KnownPeer self_;
+  const PeerInfo self_;
   const std::uint16_t port_;
   const Send send_;
   /** The balancer that a peer with a view has named last. */
--- a/src/discovery/view_provider.cc
+++ b/src/discovery/view_provider.cc
@@ -27,10 +27,10 @@
       copies_(settings.copies, settings.link_bytes_per_s, time_source) {}
 
 void ViewProvider::onRequest(const ViewRequest& request, Endpoint reply_to) {
-  directory_.onShown({request.from, request.link});
+  directory_.onContact({request.from, request.link});
   const bool shows_view = request.after != 0;
   if (shows_view) {
-    directory_.onShowsView(request.from);
+    directory_.onViewReported(request.from);
   }
   // An adopted view has no history: changes can only be told of the own one.
   const bool can_answer = shows_view ? owner_.viewStatus().serves_view : status().serves_view;
@@ -46,8 +46,8 @@
 }
 
 void ViewProvider::onPeersRequest(const PeersRequest& request, Endpoint reply_to) {
-  send_(reply_to, PeersReply{request.request, directory_.toTell(kMaxPeersInMessage)});
-  directory_.onShown(request.from);
+  send_(reply_to, PeersReply{request.request, directory_.peersToReport(kMaxPeersInMessage)});
+  directory_.onContact(request.from);
 }
 
 void ViewProvider::onViewReady() {
@@ -101,7 +101,7 @@
 void ViewProvider::enqueue(const ViewRequest& request, Endpoint reply_to) {
   const MonotonicTime now = time_source_.monotonicTime();
   const bool was_queued = queue_.contains(reply_to);
-  std::vector<Endpoint> others = directory_.withView(kReferralsInQueue);
+  std::vector<Endpoint> others = directory_.peersWithView(kReferralsInQueue);
   const bool may_wait = others.empty() || now - started_at_ < settings_.hold_at_start;
   const bool has_room = was_queued || queue_.size() < settings_.max_queued;
   const bool is_queued = request.after == 0 && may_wait && has_room;
@@ -223,7 +223,7 @@
       whole_body_ != nullptr && now - whole_body_->made_at <= settings_.body_lifetime;
   if (!is_usable) {
     const ItemView& view = owner_.view();
-    ViewBody content{{}, view.position(), true, directory_.toTell(kMaxPeersInMessage)};
+    ViewBody content{{}, view.position(), true, directory_.peersToReport(kMaxPeersInMessage)};
     for (Item& item : view.page("", ItemView::kNoLimit).items) {
       content.changes.push_back({std::move(item), false});
     }
--- a/src/discovery/view_spread_plan.cc
+++ b/src/discovery/view_spread_plan.cc
@@ -35,7 +35,7 @@
   return static_cast<std::uint64_t>(settings_.link_share * static_cast<double>(bytes_per_s));
 }
 
-Endpoint ViewSpreadPlan::choose(const KnownPeer& receiver, std::size_t copy_bytes) {
+Endpoint ViewSpreadPlan::choose(const PeerInfo& receiver, std::size_t copy_bytes) {
   forgetOld();
   const bool comes_again = senders_.contains(receiver.address);
   if (comes_again) {
@@ -51,15 +51,14 @@
 }
 
 ViewSpreadPlan::Choice ViewSpreadPlan::choiceOf(Endpoint sender, MonotonicTime free_at,
-                                                std::uint64_t bytes_per_s,
-                                                const KnownPeer& receiver,
+                                                std::uint64_t bytes_per_s, const PeerInfo& receiver,
                                                 std::size_t copy_bytes) const {
   const std::uint64_t rate = std::min(bytes_per_s, bytesPerSecondOf(receiver.link));
   const MonotonicTime begin = std::max(time_source_.monotonicTime(), free_at);
   return {begin + copyTime(copy_bytes, rate), sender};
 }
 
-ViewSpreadPlan::Choice ViewSpreadPlan::bestOther(const KnownPeer& receiver,
+ViewSpreadPlan::Choice ViewSpreadPlan::bestOther(const PeerInfo& receiver,
                                                  std::size_t copy_bytes) const {
   Choice best{MonotonicTime::max(), Endpoint()};
   for (const auto& [link, senders] : free_senders_) {
--- a/src/discovery/view_spread_plan.h
+++ b/src/discovery/view_spread_plan.h
@@ -41,7 +41,7 @@
    * is served by this balancer, so that no chain of failures keeps it without a view.
    * @return the sender; unset for this balancer.
    */
-  Endpoint choose(const KnownPeer& receiver, std::size_t copy_bytes);
+  Endpoint choose(const PeerInfo& receiver, std::size_t copy_bytes);
 
   std::size_t senders() const { return senders_.size(); }
 
@@ -63,9 +63,9 @@
   using FreeSenders = std::set<std::pair<MonotonicTime, Endpoint>>;
 
   Choice choiceOf(Endpoint sender, MonotonicTime free_at, std::uint64_t bytes_per_s,
-                  const KnownPeer& receiver, std::size_t copy_bytes) const;
+                  const PeerInfo& receiver, std::size_t copy_bytes) const;
   /** @return the best of the balancers that were given a copy before. */
-  Choice bestOther(const KnownPeer& receiver, std::size_t copy_bytes) const;
+  Choice bestOther(const PeerInfo& receiver, std::size_t copy_bytes) const;
   /** A copy keeps the sender's link busy. */
   void occupy(Endpoint balancer, std::size_t copy_bytes);
   /** @return what copies may take of a link's rate. */
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -34,7 +34,7 @@
 constexpr double kLogLinesBehind = 5;
 
 /** @return how other balancers are to know this one. */
-KnownPeer selfOf(const PacketDaemonSettings& settings) {
+PeerInfo selfOf(const PacketDaemonSettings& settings) {
   return {settings.control_address, settings.link};
 }
 
--- a/src/wire/view_transfer_codec.cc
+++ b/src/wire/view_transfer_codec.cc
@@ -47,7 +47,7 @@
   std::vector<PackedChange> changes;
   Revision at = 0;
   bool is_whole = false;
-  std::vector<KnownPeer> peers;
+  std::vector<PeerInfo> peers;
   auto fields() { return std::tie(changes, at, is_whole, peers); }
 };
 
--- a/src/wire/view_transfer_codec.h
+++ b/src/wire/view_transfer_codec.h
@@ -75,13 +75,13 @@
 /** Shows who asks, and asks which balancers are known. */
 struct PeersRequest {
   std::uint64_t request = 0;
-  KnownPeer from;
+  PeerInfo from;
   auto fields() { return std::tie(request, from); }
 };
 
 struct PeersReply {
   std::uint64_t request = 0;
-  std::vector<KnownPeer> peers;
+  std::vector<PeerInfo> peers;
   auto fields() { return std::tie(request, peers); }
 };
 
@@ -93,7 +93,7 @@
   std::vector<ItemChange> changes;
   Revision at = 0;
   bool is_whole = false;
-  std::vector<KnownPeer> peers;
+  std::vector<PeerInfo> peers;
 };
 
 /** @return the key for these datagrams, derived from the fleet's secret. */
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -46,7 +46,7 @@
   void start() {
     for (const auto& node : nodes) {
       for (const auto& other : nodes) {
-        node->directory.onShown({{other->address, kControlPort}, other->link});
+        node->directory.onContact({{other->address, kControlPort}, other->link});
       }
       node->exchange.start();
     }
@@ -99,7 +99,7 @@
       zone(node_zone),
       link(link_class),
       evidence(fleet.time, node_zone),
-      directory({}, KnownPeer{{node_address, kControlPort}, link_class}, {}, fleet.time, *random),
+      directory({}, PeerInfo{{node_address, kControlPort}, link_class}, {}, fleet.time, *random),
       exchange(
           EvidenceExchangeSettings(), evidence.reporter, evidence.shared, directory,
           Endpoint{node_address, kControlPort}, kPeerPort,
--- a/tests/discovery/fake_peers.h
+++ b/tests/discovery/fake_peers.h
@@ -19,32 +19,32 @@
     const bool is_silent = found == answers.end();
     const auto answer = is_silent ? PeerRefusal{SourceError::NoAnswer, {}}
                                   : Result<PeerView, PeerRefusal>(found->second);
-    scheduler.callAfter(is_silent ? patience : answers_after,
+    scheduler.callAfter(is_silent ? patience : answer_delay,
                         [answer, callback = std::move(callback)] { callback(answer); });
   }
 
   void exchangePeers(Endpoint peer, PeersCallback callback) override {
     exchanged.push_back(peer);
-    callback(answers.contains(peer) ? Result<std::vector<KnownPeer>, SourceError>(told_peers)
+    callback(answers.contains(peer) ? Result<std::vector<PeerInfo>, SourceError>(reported_peers)
                                     : SourceError::NoAnswer);
   }
 
   /** The peer tells changes, or its whole view. */
-  void tells(Endpoint peer, std::vector<ItemChange> changes, Revision at,
-             std::uint32_t age_ms = 100, bool is_whole = false) {
+  void answersWith(Endpoint peer, std::vector<ItemChange> changes, Revision at,
+                   std::uint32_t age_ms = 100, bool is_whole = false) {
     answers.insert_or_assign(
-        peer, PeerView{{at, age_ms, true}, std::move(changes), at, is_whole, told_peers});
+        peer, PeerView{{at, age_ms, true}, std::move(changes), at, is_whole, reported_peers});
   }
   void refuses(Endpoint peer, SourceError cause, std::vector<Endpoint> others = {}) {
     answers.insert_or_assign(peer, PeerRefusal{cause, std::move(others)});
   }
-  void isSilent(Endpoint peer) { answers.erase(peer); }
+  void stopsAnswering(Endpoint peer) { answers.erase(peer); }
 
   Scheduler& scheduler;
   std::map<Endpoint, Result<PeerView, PeerRefusal>> answers;
-  std::vector<KnownPeer> told_peers;
+  std::vector<PeerInfo> reported_peers;
   /** Time until an answer is there; a long one stands for a view whose parts trickle in. */
-  Duration answers_after = milliseconds(1);
+  Duration answer_delay = milliseconds(1);
   std::vector<Endpoint> asked;
   std::vector<Revision> asked_after;
   std::vector<Endpoint> exchanged;
--- a/tests/discovery/first_view_reader_test.cc
+++ b/tests/discovery/first_view_reader_test.cc
@@ -29,7 +29,7 @@
   FakePeers peers{scheduler};
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   PeerDirectory directory{{}, kOwn, {kSeed, kOtherSeed}, time, *random};
-  FirstViewSettings settings;
+  FirstViewReaderSettings settings;
   FirstViewReader reader{settings, kOwn, directory, peers, scheduler, time};
   bool is_done = false;
   std::optional<PeerView> view;
@@ -38,14 +38,14 @@
 
 TEST_CASE("a silent seed is passed over for the other one", "[first_view_reader]") {
   ReaderHarness harness;
-  harness.peers.told_peers = {{kChild}};
-  harness.peers.tells(kOtherSeed, {written("a", 3)}, 9, 10, true);
+  harness.peers.reported_peers = {{kChild}};
+  harness.peers.answersWith(kOtherSeed, {written("a", 3)}, 9, 10, true);
   harness.read(seconds(1));
   REQUIRE(harness.view.has_value());
   CHECK(harness.view->at == 9);
-  CHECK(harness.took <= harness.settings.patience + milliseconds(10));
+  CHECK(harness.took <= harness.settings.answer_timeout + milliseconds(10));
   // The balancers that it tells of are known from then on.
-  const auto known = harness.directory.recent();
+  const auto known = harness.directory.recentPeers();
   CHECK(std::count(known.begin(), known.end(), kChild) == 1);
 }
 
@@ -53,7 +53,7 @@
   ReaderHarness harness;
   harness.peers.refuses(kSeed, SourceError::Throttled, {kChild});
   harness.peers.refuses(kOtherSeed, SourceError::Throttled, {kChild});
-  harness.peers.tells(kChild, {written("a", 3)}, 9, 10, true);
+  harness.peers.answersWith(kChild, {written("a", 3)}, 9, 10, true);
   harness.read(milliseconds(20));
   REQUIRE(harness.view.has_value());
   CHECK(harness.peers.asked.back() == kChild);
@@ -64,16 +64,16 @@
   ReaderHarness harness;
   Duration earliest{};
   SECTION("all are silent") {
-    earliest = harness.settings.store_after_silence;
+    earliest = harness.settings.silence_timeout;
   }
   SECTION("all are still without a view") {
     harness.peers.refuses(kSeed, SourceError::Unavailable);
     harness.peers.refuses(kOtherSeed, SourceError::Unavailable);
-    earliest = harness.settings.store_after_refusals;
+    earliest = harness.settings.refusal_timeout;
   }
   SECTION("the only views are old") {
-    harness.peers.tells(kSeed, {}, 9, 60000, true);
-    earliest = harness.settings.store_after_refusals;
+    harness.peers.answersWith(kSeed, {}, 9, 60000, true);
+    earliest = harness.settings.refusal_timeout;
   }
   harness.read(seconds(4));
   CHECK(harness.is_done);
@@ -86,8 +86,8 @@
   ReaderHarness harness;
   harness.read(milliseconds(300));
   CHECK_FALSE(harness.is_done);
-  harness.peers.tells(kSeed, {}, 9, 10, true);
-  harness.scheduler.advance(harness.settings.patience * 2 + harness.settings.pause +
+  harness.peers.answersWith(kSeed, {}, 9, 10, true);
+  harness.scheduler.advance(harness.settings.answer_timeout * 2 + harness.settings.retry_delay +
                             milliseconds(10));
   CHECK(harness.view.has_value());
 }
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -36,8 +36,8 @@
   return settings;
 }
 
-std::vector<KnownPeer> fleet() {
-  std::vector<KnownPeer> balancers;
+std::vector<PeerInfo> fleet() {
+  std::vector<PeerInfo> balancers;
   for (std::uint32_t address = 1; address <= kFleet; ++address) {
     balancers.push_back({{address, 1}, 0});
   }
@@ -51,7 +51,7 @@
         time(its_time),
         scheduler(its_scheduler),
         directory({}, {own, 0}, {}, time, *random) {
-    directory.onTold(fleet());
+    directory.onPeersReported(fleet());
   }
 
   void startFrom(std::uint32_t age_ms) {
@@ -71,8 +71,8 @@
   bool follows() { return !selector.upstreams().empty(); }
 
   void upstreamsTell(std::uint32_t age_ms, bool whole_view) {
-    for (const KnownPeer& peer : fleet()) {
-      peers.tells(peer.address, {}, 5, age_ms, whole_view);
+    for (const PeerInfo& peer : fleet()) {
+      peers.answersWith(peer.address, {}, 5, age_ms, whole_view);
     }
   }
   void upstreamsFallSilent() { peers.answers.clear(); }
@@ -105,7 +105,7 @@
 Duration oldestAge(std::uint32_t told_age_ms) {
   ManualTimeSource time;
   Duration oldest{};
-  for (const KnownPeer& peer : fleet()) {
+  for (const PeerInfo& peer : fleet()) {
     ManualScheduler scheduler(time);
     Follower balancer(peer.address, time, scheduler);
     if (!balancer.follows()) {
--- a/tests/discovery/peer_directory_test.cc
+++ b/tests/discovery/peer_directory_test.cc
@@ -18,43 +18,43 @@
 
 TEST_CASE("seeds are asked until a peer is known", "[peer_directory]") {
   DirectoryHarness harness;
-  CHECK(harness.directory.pick() == kSeed);
-  harness.directory.onAlive({3, 1});
-  CHECK(harness.directory.pick() == Endpoint{3, 1});
+  CHECK(harness.directory.pickRandom() == kSeed);
+  harness.directory.onAnswer({3, 1});
+  CHECK(harness.directory.pickRandom() == Endpoint{3, 1});
   harness.directory.onFailed({3, 1});
-  CHECK(harness.directory.pick() == kSeed);
+  CHECK(harness.directory.pickRandom() == kSeed);
 }
 
 TEST_CASE("a node is no peer of its own", "[peer_directory]") {
   DirectoryHarness harness;
-  harness.directory.onAlive(kOwn);
-  harness.directory.onTold({kOwn, Endpoint()});
-  CHECK(harness.directory.recent().empty());
+  harness.directory.onAnswer(kOwn);
+  harness.directory.onPeersReported({kOwn, Endpoint()});
+  CHECK(harness.directory.recentPeers().empty());
 }
 
 TEST_CASE("peers that are not heard of are forgotten, also where others tell them",
           "[peer_directory]") {
   DirectoryHarness harness;
-  harness.directory.onTold({Endpoint{3, 1}});
+  harness.directory.onPeersReported({Endpoint{3, 1}});
   harness.time.elapsed += seconds(40);
-  harness.directory.onTold({Endpoint{3, 1}});
+  harness.directory.onPeersReported({Endpoint{3, 1}});
   harness.time.elapsed += seconds(40);
-  CHECK(harness.directory.recent().empty());
+  CHECK(harness.directory.recentPeers().empty());
 }
 
 TEST_CASE("a directory has a limit", "[peer_directory]") {
   DirectoryHarness harness;
   for (std::uint32_t address = 10; address < 50; ++address) {
-    harness.directory.onAlive({address, 1});
+    harness.directory.onAnswer({address, 1});
   }
-  CHECK(harness.directory.recent().size() == 4);
+  CHECK(harness.directory.recentPeers().size() == 4);
 }
 
 TEST_CASE("without seeds and peers there is nobody to ask", "[peer_directory]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   PeerDirectory directory({}, kOwn, {}, time, *random);
-  CHECK_FALSE(directory.pick().has_value());
+  CHECK_FALSE(directory.pickRandom().has_value());
 }
 
 }  // namespace
--- a/tests/discovery/peer_exchange_test.cc
+++ b/tests/discovery/peer_exchange_test.cc
@@ -24,12 +24,12 @@
 
 TEST_CASE("a seed is asked soon after the start, and tells of others", "[peer_exchange]") {
   ExchangeHarness harness;
-  harness.peers.told_peers = {{kOther}};
-  harness.peers.tells(kSeed, {}, 1);
+  harness.peers.reported_peers = {{kOther}};
+  harness.peers.answersWith(kSeed, {}, 1);
   harness.exchange.start();
   harness.scheduler.advance(harness.settings.first_delay);
   CHECK(harness.peers.exchanged == std::vector<Endpoint>{kSeed});
-  CHECK(harness.directory.recent() == std::vector<Endpoint>{kSeed, kOther});
+  CHECK(harness.directory.recentPeers() == std::vector<Endpoint>{kSeed, kOther});
 }
 
 TEST_CASE("a seed that does not answer is asked again", "[peer_exchange]") {
--- a/tests/discovery/probe_schedule_test.cc
+++ b/tests/discovery/probe_schedule_test.cc
@@ -9,11 +9,11 @@
 
 struct ScheduleHarness {
   explicit ScheduleHarness(std::uint32_t fleet = 1) {
-    std::vector<KnownPeer> peers;
+    std::vector<PeerInfo> peers;
     for (std::uint32_t address = 1; address <= fleet; ++address) {
       peers.push_back({{address, 1}, 0});
     }
-    directory.onTold(peers);
+    directory.onPeersReported(peers);
   }
 
   ManualTimeSource time;
--- a/tests/discovery/ranked_peers_test.cc
+++ b/tests/discovery/ranked_peers_test.cc
@@ -16,7 +16,7 @@
   return {0x0c000000 + number, 8000};
 }
 
-KnownPeer balancer(std::uint32_t number) {
+PeerInfo balancer(std::uint32_t number) {
   return {addressOfBalancer(number), linkClassOf(number % 50 == 0 ? 200 : 10)};
 }
 
@@ -35,11 +35,11 @@
 
   void anyNews() {
     time.elapsed += Duration(1 + static_cast<std::int64_t>(random->below(200'000)));
-    const KnownPeer peer{addressOfBalancer(any()), linkClassOf(1 << random->below(4))};
-    std::vector<KnownPeer> told;
+    const PeerInfo peer{addressOfBalancer(any()), linkClassOf(1 << random->below(4))};
+    std::vector<PeerInfo> told;
     switch (random->below(8)) {
       case 0:
-        tellBoth([&](auto& both) { both.onAlive(peer.address); });
+        tellBoth([&](auto& both) { both.onAnswer(peer.address); });
         break;
       case 1:
         tellBoth([&](auto& both) { both.onFailed(peer.address); });
@@ -48,29 +48,29 @@
         tellBoth([&](auto& both) { both.onUnavailable(peer.address); });
         break;
       case 3:
-        tellBoth([&](auto& both) { both.onShowsView(peer.address); });
+        tellBoth([&](auto& both) { both.onViewReported(peer.address); });
         break;
       case 4:
         for (int count = 0; count < 20; ++count) {
           told.push_back(balancer(any()));
         }
-        tellBoth([&](auto& both) { both.onTold(told); });
+        tellBoth([&](auto& both) { both.onPeersReported(told); });
         break;
       case 5:
         time.elapsed += Duration(static_cast<std::int64_t>(random->below(20'000'000)));
         break;
       default:
-        tellBoth([&](auto& both) { both.onShown(peer); });
+        tellBoth([&](auto& both) { both.onContact(peer); });
     }
   }
 
   void checkAnswers() {
     REQUIRE(directory.ranked() == reference.ranked());
-    REQUIRE(directory.recent() == reference.recent());
-    REQUIRE(directory.knowsPeers() == !reference.recent().empty());
-    REQUIRE(directory.toTell(kAll) == reference.toTell(kAll));
-    REQUIRE(directory.toTell(7) == reference.toTell(7));
-    REQUIRE(directory.withView(kAll) == reference.withView(kAll));
+    REQUIRE(directory.recentPeers() == reference.recentPeers());
+    REQUIRE(directory.hasPeers() == !reference.recentPeers().empty());
+    REQUIRE(directory.peersToReport(kAll) == reference.peersToReport(kAll));
+    REQUIRE(directory.peersToReport(7) == reference.peersToReport(7));
+    REQUIRE(directory.peersWithView(kAll) == reference.peersWithView(kAll));
     REQUIRE(directory.fleetSize() == reference.fleetSize());
     const std::uint64_t key = random->next();
     REQUIRE(directory.isOwner(key, 2) == reference.isOwner(key, 2));
@@ -82,7 +82,7 @@
     REQUIRE(directory.isBetterUpstream(left, right) == reference.isBetterUpstream(left, right));
   }
 
-  const KnownPeer self = balancer(kBalancers + 1);
+  const PeerInfo self = balancer(kBalancers + 1);
   const std::vector<Endpoint> seeds = {addressOfBalancer(1), addressOfBalancer(2),
                                        addressOfBalancer(50), self.address};
   ManualTimeSource time;
@@ -94,8 +94,8 @@
 TEST_CASE("the orders that are kept give the same answers as sorting for each question",
           "[peer_directory]") {
   PeerDirectorySettings settings;
-  settings.size = GENERATE(3, 20, 100, 1000);
-  settings.fastest = GENERATE(0, 1, 16);
+  settings.max_peers = GENERATE(3, 20, 100, 1000);
+  settings.max_fast_peers = GENERATE(0, 1, 16);
   DirectoryPair pair(settings);
   for (int step = 0; step < 400; ++step) {
     pair.anyNews();
@@ -106,7 +106,7 @@
 struct LargeFleet {
   LargeFleet() {
     for (std::uint32_t number = 1; number < kBalancers; ++number) {
-      directory.onShown(balancer(number));
+      directory.onContact(balancer(number));
     }
   }
   /** @return the peers that were looked at one by one in a call. */
@@ -127,21 +127,21 @@
   LargeFleet fleet;
   const PeerDirectorySettings settings;
   UpstreamSelector selector({}, addressOfBalancer(kBalancers + 1), fleet.directory);
-  const std::uint64_t walk = 4 * settings.fastest;
+  const std::uint64_t walk = 4 * settings.max_fast_peers;
   CHECK(fleet.visitedIn([&] { CHECK(selector.upstreams().size() < 8); }) < walk);
   CHECK(fleet.visitedIn([&] { fleet.directory.fleetSize(); }) < walk);
-  CHECK(fleet.visitedIn([&] { fleet.directory.onShown(balancer(17)); }) < walk);
+  CHECK(fleet.visitedIn([&] { fleet.directory.onContact(balancer(17)); }) < walk);
   CHECK(fleet.visitedIn([&] { fleet.directory.ranked(1); }) < walk);
 }
 
 TEST_CASE("a list of a hundred peers costs a walk for each at most", "[peer_directory]") {
   LargeFleet fleet;
-  std::vector<KnownPeer> told;
+  std::vector<PeerInfo> told;
   for (std::uint32_t number = 1; number <= 100; ++number) {
     told.push_back(balancer(2 * number));
   }
-  const std::uint64_t visited = fleet.visitedIn([&] { fleet.directory.onTold(told); });
-  CHECK(visited < told.size() * 4 * PeerDirectorySettings().fastest);
+  const std::uint64_t visited = fleet.visitedIn([&] { fleet.directory.onPeersReported(told); });
+  CHECK(visited < told.size() * 4 * PeerDirectorySettings().max_fast_peers);
 }
 
 }  // namespace
--- a/tests/discovery/reference_peer_directory.h
+++ b/tests/discovery/reference_peer_directory.h
@@ -16,24 +16,24 @@
 
 class ReferencePeerDirectory {
  public:
-  ReferencePeerDirectory(PeerDirectorySettings settings, KnownPeer self,
-                         std::vector<Endpoint> seeds, const TimeSource& time_source)
+  ReferencePeerDirectory(PeerDirectorySettings settings, PeerInfo self, std::vector<Endpoint> seeds,
+                         const TimeSource& time_source)
       : settings_(settings), self_(self), seeds_(std::move(seeds)), time_source_(time_source) {
     std::erase(seeds_, self_.address);
   }
 
-  void onAlive(Endpoint peer) {
+  void onAnswer(Endpoint peer) {
     quarantined_until_.erase(peer);
     add({peer, linkOf(peer)});
   }
 
-  void onShown(const KnownPeer& peer) {
+  void onContact(const PeerInfo& peer) {
     quarantined_until_.erase(peer.address);
     add(peer);
   }
 
-  void onTold(const std::vector<KnownPeer>& peers) {
-    for (const KnownPeer& peer : peers) {
+  void onPeersReported(const std::vector<PeerInfo>& peers) {
+    for (const PeerInfo& peer : peers) {
       const auto known = heard_.find(peer.address);
       if (known != heard_.end()) {
         // What others tell never refreshes what is known: a dead peer would be told for ever.
@@ -50,13 +50,13 @@
   }
 
   void onUnavailable(Endpoint peer) {
-    unavailable_until_[peer] = time_source_.monotonicTime() + settings_.short_quarantine;
+    unavailable_until_[peer] = time_source_.monotonicTime() + settings_.unavailable_quarantine;
   }
 
-  void onShowsView(Endpoint peer) { view_shown_at_[peer] = time_source_.monotonicTime(); }
+  void onViewReported(Endpoint peer) { view_shown_at_[peer] = time_source_.monotonicTime(); }
 
-  std::vector<Endpoint> withView(std::size_t limit) {
-    forgetOld();
+  std::vector<Endpoint> peersWithView(std::size_t limit) {
+    removeExpired();
     std::vector<Endpoint> peers;
     for (const auto& [peer, shown_at] : view_shown_at_) {
       if (!isQuarantined(peer) && !isUnavailable(peer)) {
@@ -70,8 +70,8 @@
     return peers;
   }
 
-  std::vector<Endpoint> recent() {
-    forgetOld();
+  std::vector<Endpoint> recentPeers() {
+    removeExpired();
     std::vector<Endpoint> peers;
     for (const auto& [peer, heard] : heard_) {
       peers.push_back(peer);
@@ -79,11 +79,11 @@
     return peers;
   }
 
-  std::vector<KnownPeer> toTell(std::size_t limit) {
-    std::vector<Endpoint> peers = recent();
+  std::vector<PeerInfo> peersToReport(std::size_t limit) {
+    std::vector<Endpoint> peers = recentPeers();
     std::sort(peers.begin(), peers.end(),
               [this](Endpoint left, Endpoint right) { return isBetterUpstream(left, right); });
-    std::vector<KnownPeer> told;
+    std::vector<PeerInfo> told;
     if (self_.address.isSet()) {
       told.push_back(self_);
     }
@@ -96,7 +96,7 @@
   }
 
   std::vector<Endpoint> ranked() {
-    std::vector<Endpoint> peers = recent();
+    std::vector<Endpoint> peers = recentPeers();
     for (const Endpoint& seed : seeds_) {
       if (!heard_.contains(seed)) {
         peers.push_back(seed);
@@ -120,8 +120,8 @@
       const std::uint64_t content[] = {key, peerRank(peer)};
       return XXH3_64bits(content, sizeof(content));
     };
-    const std::vector<Endpoint> peers = recent();
-    if (peers.size() >= settings_.size && !isKeptByOthers()) {
+    const std::vector<Endpoint> peers = recentPeers();
+    if (peers.size() >= settings_.max_peers && !isKeptByOthers()) {
       return false;
     }
     const std::uint64_t own_weight = weight(self_.address);
@@ -133,8 +133,8 @@
   }
 
   double fleetSize() {
-    forgetOld();
-    if (heard_.size() < settings_.size) {
+    removeExpired();
+    if (heard_.size() < settings_.max_peers) {
       return static_cast<double>(heard_.size()) + 1;
     }
     // All peers up to the highest rank that was kept for its rank are known.
@@ -192,23 +192,23 @@
     return found != unavailable_until_.end() && time_source_.monotonicTime() <= found->second;
   }
 
-  void forgetOld() {
+  void removeExpired() {
     const MonotonicTime now = time_source_.monotonicTime();
     std::erase_if(quarantined_until_, [&](const auto& entry) { return now > entry.second; });
     std::erase_if(unavailable_until_, [&](const auto& entry) { return now > entry.second; });
     std::erase_if(heard_,
-                  [&](const auto& entry) { return now - entry.second.at > settings_.lifetime; });
+                  [&](const auto& entry) { return now - entry.second.at > settings_.peer_ttl; });
     std::erase_if(view_shown_at_,
-                  [&](const auto& entry) { return now - entry.second > settings_.view_shown_for; });
+                  [&](const auto& entry) { return now - entry.second > settings_.view_ttl; });
   }
 
-  void add(const KnownPeer& peer) {
+  void add(const PeerInfo& peer) {
     if (peer.address == self_.address || !peer.address.isSet()) {
       return;
     }
-    forgetOld();
+    removeExpired();
     heard_[peer.address] = {time_source_.monotonicTime(), peer.link};
-    if (heard_.size() > settings_.size) {
+    if (heard_.size() > settings_.max_peers) {
       evictHighestRank();
     }
   }
@@ -232,7 +232,8 @@
     for (const auto& [peer, heard] : heard_) {
       peers.push_back(peer);
     }
-    const std::size_t count = std::min({settings_.fastest, settings_.size / 2, peers.size()});
+    const std::size_t count =
+        std::min({settings_.max_fast_peers, settings_.max_peers / 2, peers.size()});
     const auto end = peers.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(peers.begin(), end, peers.end(), [this](Endpoint left, Endpoint right) {
       return isBetterUpstream(left, right);
@@ -242,7 +243,7 @@
   }
 
   const PeerDirectorySettings settings_;
-  const KnownPeer self_;
+  const PeerInfo self_;
   std::vector<Endpoint> seeds_;
   const TimeSource& time_source_;
   std::map<Endpoint, Heard> heard_;
--- a/tests/discovery/upstream_poller_test.cc
+++ b/tests/discovery/upstream_poller_test.cc
@@ -35,8 +35,8 @@
 TEST_CASE("the first balancer with a fresh view ends the poll and is asked first next time",
           "[upstream_poller]") {
   PollHarness harness;
-  harness.peers.tells(balancer(1), {}, 5, 1900);
-  harness.peers.tells(balancer(2), {written("a", 8)}, 8, 300);
+  harness.peers.answersWith(balancer(1), {}, 5, 1900);
+  harness.peers.answersWith(balancer(2), {written("a", 8)}, 8, 300);
   harness.poll();
   CHECK(harness.result->is_fresh);
   CHECK(harness.result->upstream == balancer(2));
@@ -48,10 +48,10 @@
 TEST_CASE("whom a busy balancer names is asked next, and the busy one stays an upstream",
           "[upstream_poller]") {
   PollHarness harness;
-  harness.directory.onAlive(balancer(1));
+  harness.directory.onAnswer(balancer(1));
   harness.peers.refuses(balancer(1), SourceError::Throttled, {balancer(7)});
   harness.peers.refuses(balancer(7), SourceError::Throttled, {balancer(8)});
-  harness.peers.tells(balancer(8), {written("a", 8)}, 8);
+  harness.peers.answersWith(balancer(8), {written("a", 8)}, 8);
   harness.poll();
   CHECK(harness.result->upstream == balancer(8));
   CHECK(harness.peers.asked == std::vector<Endpoint>{balancer(1), balancer(7), balancer(8)});
@@ -64,7 +64,7 @@
   PollHarness harness;
   harness.peers.refuses(balancer(1), SourceError::Throttled, {balancer(7)});
   harness.peers.refuses(balancer(7), SourceError::Throttled, {balancer(1)});
-  harness.peers.tells(balancer(2), {}, 8);
+  harness.peers.answersWith(balancer(2), {}, 8);
   harness.poll();
   CHECK(harness.result->upstream == balancer(2));
   CHECK(harness.peers.asked.size() == 2 + harness.settings.max_referrals);
@@ -73,14 +73,14 @@
 TEST_CASE("of old views the newest counts, and the next poll begins with the others",
           "[upstream_poller]") {
   PollHarness harness;
-  harness.peers.tells(balancer(1), {}, 5, 5000);
-  harness.peers.tells(balancer(2), {}, 6, 3000);
-  harness.peers.tells(balancer(3), {}, 5, 4000);
+  harness.peers.answersWith(balancer(1), {}, 5, 5000);
+  harness.peers.answersWith(balancer(2), {}, 6, 3000);
+  harness.peers.answersWith(balancer(3), {}, 5, 4000);
   harness.poll();
   CHECK_FALSE(harness.result->is_fresh);
   CHECK(harness.result->upstream == balancer(2));
   CHECK(harness.peers.asked.size() == harness.settings.max_asked);
-  harness.peers.tells(balancer(4), {}, 9, 10);
+  harness.peers.answersWith(balancer(4), {}, 9, 10);
   harness.poll();
   CHECK(harness.result->upstream == balancer(4));
 }
@@ -89,7 +89,7 @@
           "[upstream_poller]") {
   PollHarness harness;
   for (std::uint32_t number = 1; number <= 3; ++number) {
-    harness.directory.onAlive(balancer(number));
+    harness.directory.onAnswer(balancer(number));
   }
   harness.peers.refuses(balancer(2), SourceError::Unavailable);
   harness.poll();
@@ -101,10 +101,10 @@
 
 TEST_CASE("who tells an old view is no upstream for a short time", "[upstream_poller]") {
   PollHarness harness;
-  harness.directory.onAlive(balancer(1));
-  harness.directory.onAlive(balancer(2));
-  harness.peers.tells(balancer(1), {}, 5, 1600);
-  harness.peers.tells(balancer(2), {}, 5, 100);
+  harness.directory.onAnswer(balancer(1));
+  harness.directory.onAnswer(balancer(2));
+  harness.peers.answersWith(balancer(1), {}, 5, 1600);
+  harness.peers.answersWith(balancer(2), {}, 5, 100);
   harness.poll();
   CHECK(harness.directory.ranked() == std::vector<Endpoint>{balancer(2)});
   harness.time.elapsed += seconds(3);
@@ -114,7 +114,7 @@
 TEST_CASE("a balancer to which all are silent blames nobody", "[upstream_poller]") {
   PollHarness harness;
   for (std::uint32_t number = 1; number <= 4; ++number) {
-    harness.directory.onAlive(balancer(number));
+    harness.directory.onAnswer(balancer(number));
   }
   harness.poll();
   CHECK_FALSE(harness.result->view.has_value());
--- a/tests/discovery/upstream_selector_test.cc
+++ b/tests/discovery/upstream_selector_test.cc
@@ -22,7 +22,7 @@
   return balancers;
 }
 
-std::vector<KnownPeer> knownPeers(const std::vector<Endpoint>& addresses) {
+std::vector<PeerInfo> knownPeers(const std::vector<Endpoint>& addresses) {
   return {addresses.begin(), addresses.end()};
 }
 
@@ -33,7 +33,7 @@
       : directory({}, own_address, {}, time, *random),
         own(own_address),
         selector({watchers_per_root}, own, directory) {
-    directory.onTold(knownPeers(known));
+    directory.onPeersReported(knownPeers(known));
   }
 
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
@@ -88,7 +88,7 @@
   Balancer balancer(all[2], all, time, 0.5);
   REQUIRE(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   balancer.directory.onFailed(all[0]);
-  balancer.directory.onTold(knownPeers(all));
+  balancer.directory.onPeersReported(knownPeers(all));
   CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[1]});
 
   SECTION("with no lower rank left the store is watched") {
@@ -96,12 +96,12 @@
     CHECK(balancer.selector.upstreams().empty());
   }
   SECTION("it is back when it shows itself") {
-    balancer.directory.onAlive(all[0]);
+    balancer.directory.onAnswer(all[0]);
     CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   }
   SECTION("it is back after the quarantine") {
     time.elapsed += seconds(31);
-    balancer.directory.onTold(knownPeers(all));
+    balancer.directory.onPeersReported(knownPeers(all));
     CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   }
 }
@@ -115,7 +115,7 @@
   Balancer next(all[1], all, time, 0.5);
   REQUIRE(next.selector.upstreams() == std::vector<Endpoint>{all[0]});
   next.directory.onUnavailable(all[0]);
-  next.directory.onShown(all[0]);
+  next.directory.onContact(all[0]);
   CHECK(next.selector.upstreams().empty());
   time.elapsed += seconds(3);
   CHECK(next.selector.upstreams() == std::vector<Endpoint>{all[0]});
@@ -126,7 +126,7 @@
   ManualTimeSource time;
   constexpr std::uint32_t kLargeFleet = 2700;
   Balancer balancer({5000, 1}, fleet(kLargeFleet), time);
-  CHECK(balancer.directory.recent().size() == PeerDirectorySettings().size);
+  CHECK(balancer.directory.recentPeers().size() == PeerDirectorySettings().max_peers);
   CHECK(balancer.directory.fleetSize() == Approx(kLargeFleet).epsilon(0.2));
   std::vector<Endpoint> all = fleet(kLargeFleet);
   std::sort(all.begin(), all.end(),
@@ -135,7 +135,7 @@
 }
 
 /** Ten of 40 balancers have a link of 200 Mbit/s, the others one of 10. */
-KnownPeer withLink(Endpoint address) {
+PeerInfo withLink(Endpoint address) {
   return {address, linkClassOf(address.address % 4 == 0 ? 200 : 10)};
 }
 
@@ -144,14 +144,14 @@
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   const auto size = GENERATE(as<std::uint32_t>(), 40, 2700);
-  std::vector<KnownPeer> all;
+  std::vector<PeerInfo> all;
   for (const Endpoint& address : fleet(size)) {
     all.push_back(withLink(address));
   }
   for (std::uint32_t number = 1; number <= kFleetSize; ++number) {
-    const KnownPeer self = withLink({number, 1});
+    const PeerInfo self = withLink({number, 1});
     PeerDirectory directory({}, self, {}, time, *random);
-    directory.onTold(all);
+    directory.onPeersReported(all);
     CHECK(directory.fleetSize() == Approx(size).epsilon(0.25));
     UpstreamSelector selector({}, self.address, directory);
     for (const Endpoint& upstream : selector.upstreams()) {
@@ -166,13 +166,13 @@
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   PeerDirectory directory({}, Endpoint{1, 1}, {}, time, *random);
-  directory.onAlive({2, 1});
-  directory.onAlive({3, 1});
+  directory.onAnswer({2, 1});
+  directory.onAnswer({3, 1});
   const Endpoint lower = directory.ranked().front();
   const Endpoint higher = directory.ranked().back();
-  directory.onTold({{higher, linkClassOf(200)}});
+  directory.onPeersReported({{higher, linkClassOf(200)}});
   CHECK(directory.ranked().front() == higher);
-  directory.onAlive(higher);
+  directory.onAnswer(higher);
   CHECK(directory.ranked() == std::vector<Endpoint>{higher, lower});
 }
 
--- a/tests/discovery/upstream_source_test.cc
+++ b/tests/discovery/upstream_source_test.cc
@@ -48,8 +48,8 @@
 
   /** Knows two balancers of lower rank, and has a view that the store has told. */
   void catchUp() {
-    directory.onAlive(kFirst);
-    directory.onAlive(kSecond);
+    directory.onAnswer(kFirst);
+    directory.onAnswer(kSecond);
     watch();
     store.answerWatch(kPrefix, ItemChanges{{}, 5});
     changes.clear();
@@ -78,7 +78,7 @@
 TEST_CASE("a balancer that starts reads its view from a seed, not from the store",
           "[upstream_source]") {
   SourceHarness harness({kSecond});
-  harness.peers.tells(kSecond, {written("a", 3), written("b", 4)}, 9, 100, true);
+  harness.peers.answersWith(kSecond, {written("a", 3), written("b", 4)}, 9, 100, true);
   harness.read();
   harness.scheduler.advance(milliseconds(5));
   REQUIRE(harness.page.has_value());
@@ -90,7 +90,7 @@
   CHECK(harness.store.page_requests.empty());
 
   SECTION("and polls it from then on, without a call to the store") {
-    harness.peers.tells(kSecond, {written("c", 12)}, 12);
+    harness.peers.answersWith(kSecond, {written("c", 12)}, 12);
     harness.poll();
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 12);
@@ -129,7 +129,7 @@
 TEST_CASE("the store's page is read from a balancer where the store is silent or fails",
           "[upstream_source]") {
   SourceHarness harness({kOwn, kSecond});
-  harness.peers.tells(kSecond, {written("a", 3)}, 9, 5000, true);
+  harness.peers.answersWith(kSecond, {written("a", 3)}, 9, 5000, true);
   harness.read();
   SECTION("silent") {
     harness.scheduler.advance(harness.settings.store_hedge_after + milliseconds(5));
@@ -157,7 +157,7 @@
 TEST_CASE("the store is watched until it is caught up with, then a balancer is polled",
           "[upstream_source]") {
   SourceHarness harness;
-  harness.peers.tells(kFirst, {}, 5);
+  harness.peers.answersWith(kFirst, {}, 5);
   harness.catchUp();
   CHECK(harness.peers.asked.empty());
   const std::size_t store_calls = harness.store.watch_requests.size();
@@ -176,10 +176,10 @@
   harness.catchUp();
   const std::size_t store_calls = harness.store.watch_requests.size();
   SECTION("silent") {
-    harness.peers.isSilent(kFirst);
+    harness.peers.stopsAnswering(kFirst);
   }
   SECTION("old view") {
-    harness.peers.tells(kFirst, {}, 5, 1900);
+    harness.peers.answersWith(kFirst, {}, 5, 1900);
   }
   SECTION("no view, or about to stop") {
     harness.peers.refuses(kFirst, SourceError::Unavailable);
@@ -206,8 +206,8 @@
   harness.catchUp();
   const Duration deadline = FreshnessBudget().maxProbeAge();
   const std::size_t store_calls = harness.store.watch_requests.size();
-  harness.peers.tells(kFirst, {written("a", 7)}, 7);
-  harness.peers.answers_after = seconds(9);
+  harness.peers.answersWith(kFirst, {written("a", 7)}, 7);
+  harness.peers.answer_delay = seconds(9);
   harness.watch();
   harness.scheduler.advance(deadline - milliseconds(1));
   CHECK(harness.store.watch_requests.size() == store_calls);
@@ -215,7 +215,7 @@
   REQUIRE(harness.store.watch_requests.size() == store_calls + 1);
   CHECK(harness.source.counters().deadline_asks == 1);
   const Duration poll_ends =
-      harness.settings.probes.budget.poll_interval + harness.peers.answers_after - deadline;
+      harness.settings.probes.budget.poll_interval + harness.peers.answer_delay - deadline;
 
   SECTION("its answer counts, and the poll's comes to nothing") {
     harness.store.answerWatch(kPrefix, ItemChanges{{written("a", 8)}, 8});
@@ -233,8 +233,8 @@
     harness.store.answerWatch(kPrefix, ItemChanges{{written("a", 8)}, 8});
     CHECK_FALSE(harness.answer.has_value());
     // What the store told is not told again by a source that goes on from there.
-    harness.peers.tells(kFirst, {written("b", 9)}, 9);
-    harness.peers.answers_after = milliseconds(1);
+    harness.peers.answersWith(kFirst, {written("b", 9)}, 9);
+    harness.peers.answer_delay = milliseconds(1);
     harness.poll();
     REQUIRE(harness.answer.has_value());
     REQUIRE(harness.answer->value().changes.size() == 2);
@@ -256,12 +256,12 @@
 TEST_CASE("the view counts as old by what was told, not by when", "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
-  harness.peers.tells(kFirst, {}, 5, 1400);
+  harness.peers.answersWith(kFirst, {}, 5, 1400);
   harness.scheduler.advance(seconds(2));
   harness.poll();
   REQUIRE(harness.answer.has_value());
   const std::size_t store_calls = harness.store.watch_requests.size();
-  harness.peers.answers_after = seconds(9);
+  harness.peers.answer_delay = seconds(9);
   harness.watch();
   harness.scheduler.advance(FreshnessBudget().maxProbeAge() - milliseconds(1400));
   CHECK(harness.store.watch_requests.size() == store_calls + 1);
@@ -270,8 +270,8 @@
 TEST_CASE("an old view counts where the store does not answer either", "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
-  harness.peers.tells(kFirst, {written("a", 8)}, 8, 9000);
-  harness.peers.tells(kSecond, {written("a", 8)}, 8, 9000);
+  harness.peers.answersWith(kFirst, {written("a", 8)}, 8, 9000);
+  harness.peers.answersWith(kSecond, {written("a", 8)}, 8, 9000);
   harness.poll();
   harness.store.answerWatch(kPrefix, SourceError::NoAnswer);
   REQUIRE(harness.answer.has_value());
@@ -303,11 +303,11 @@
   UpstreamSourceSettings settings;
   for (const Endpoint& own : fleet) {
     PeerDirectory directory({}, own, {}, time, *random);
-    directory.onTold({fleet.begin(), fleet.end()});
+    directory.onPeersReported({fleet.begin(), fleet.end()});
     UpstreamSelector selector({}, own, directory);
     FakePeers peers(scheduler);
     for (const Endpoint& peer : fleet) {
-      peers.tells(peer, {}, 5, 5000);
+      peers.answersWith(peer, {}, 5, 5000);
     }
     ManualSource store;
     UpstreamSource source(settings, own, store, &peers, directory, selector, scheduler, time);
@@ -344,8 +344,8 @@
   UpstreamSource source(harness.settings, kOwn, harness.store, &harness.peers, harness.directory,
                         watches, harness.scheduler, harness.time);
   source.setListener(&harness);
-  harness.directory.onAlive(kFirst);
-  harness.peers.tells(kFirst, {written("a", 7)}, 7);
+  harness.directory.onAnswer(kFirst);
+  harness.peers.answersWith(kFirst, {written("a", 7)}, 7);
   const auto watch = [&] {
     harness.answer.reset();
     source.watch({kPrefix, 5, seconds(3)}, [&](Result<ItemChanges, SourceError> result) {
@@ -390,7 +390,7 @@
 TEST_CASE("without a balancer that answers the store's error stands", "[upstream_source]") {
   SourceHarness harness;
   SECTION("it is dead") {
-    harness.directory.onAlive(kFirst);
+    harness.directory.onAnswer(kFirst);
   }
   SECTION("none is known") {}
   harness.watch();
@@ -398,7 +398,7 @@
   harness.scheduler.advance(seconds(1));
   REQUIRE(harness.answer.has_value());
   CHECK(harness.answer->error() == SourceError::Unavailable);
-  CHECK_FALSE(harness.directory.pick().has_value());
+  CHECK_FALSE(harness.directory.pickRandom().has_value());
 }
 
 TEST_CASE("a view whose history is lost is read again from a balancer", "[upstream_source]") {
@@ -411,7 +411,7 @@
   REQUIRE(harness.answer.has_value());
   CHECK(harness.answer->error() == SourceError::HistoryGone);
   harness.scheduler.advance(seconds(3));
-  harness.peers.tells(kFirst, {written("a", 8)}, 8, 10, true);
+  harness.peers.answersWith(kFirst, {written("a", 8)}, 8, 10, true);
   harness.read();
   harness.scheduler.advance(milliseconds(20));
   REQUIRE(harness.page.has_value());
--- a/tests/discovery/view_provider_test.cc
+++ b/tests/discovery/view_provider_test.cc
@@ -73,16 +73,16 @@
 
 TEST_CASE("a whole view is told with the balancers that are known", "[view_provider]") {
   ProviderHarness harness;
-  harness.directory.onAlive(balancer(5));
+  harness.directory.onAnswer(balancer(5));
   harness.ask(7);
   const ViewBody body = harness.bodyFor(7);
   CHECK(body.is_whole);
   CHECK(body.at == 10);
   REQUIRE(body.changes.size() == 1);
   CHECK(body.changes[0].item.key == "a");
-  CHECK(std::count(body.peers.begin(), body.peers.end(), KnownPeer(balancer(5))) == 1);
+  CHECK(std::count(body.peers.begin(), body.peers.end(), PeerInfo(balancer(5))) == 1);
   // Who asks is known from then on.
-  CHECK(harness.directory.recent().size() == 2);
+  CHECK(harness.directory.recentPeers().size() == 2);
 }
 
 TEST_CASE("changes are told alone, and refused where their history is not known",
@@ -387,19 +387,19 @@
   harness.time.elapsed += milliseconds(200);
   harness.ask(8);
   const ViewBody body = harness.bodyFor(8);
-  CHECK(std::count(body.peers.begin(), body.peers.end(), KnownPeer(balancer(7))) == 1);
+  CHECK(std::count(body.peers.begin(), body.peers.end(), PeerInfo(balancer(7))) == 1);
 }
 
 TEST_CASE("a balancer tells whom it knows, and comes to know who asks", "[view_provider]") {
   ProviderHarness harness;
-  harness.directory.onAlive(balancer(5));
+  harness.directory.onAnswer(balancer(5));
   harness.provider.onPeersRequest({77, balancer(7)}, socketOf(7));
   const auto sent = harness.takeSent(7);
   REQUIRE(sent.size() == 1);
   CHECK(std::get<PeersReply>(sent.front()).request == 77);
   CHECK(std::get<PeersReply>(sent.front()).peers ==
-        std::vector<KnownPeer>{balancer(1000), balancer(5)});
-  CHECK(harness.directory.recent().size() == 2);
+        std::vector<PeerInfo>{balancer(1000), balancer(5)});
+  CHECK(harness.directory.recentPeers().size() == 2);
 }
 
 }  // namespace
--- a/tests/discovery/view_spread_plan_test.cc
+++ b/tests/discovery/view_spread_plan_test.cc
@@ -21,7 +21,7 @@
   ViewSpreadPlan plan{{}, kFastLink, time};
 
   Endpoint choose(std::uint32_t number, LinkClass link) {
-    return plan.choose(KnownPeer(balancer(number), link), kCopyBytes);
+    return plan.choose(PeerInfo(balancer(number), link), kCopyBytes);
   }
 };
 
--- a/tests/flow/cold_server_limit_test.cc
+++ b/tests/flow/cold_server_limit_test.cc
@@ -75,14 +75,14 @@
   const auto random = makeSeededRandom(1);
   const std::uint32_t fleet = GENERATE(as<std::uint32_t>(), 1, 2, 7, 89, 300);
   std::map<std::uint64_t, std::size_t> owners;
-  std::vector<KnownPeer> all;
+  std::vector<PeerInfo> all;
   for (std::uint32_t address = 1; address <= fleet; ++address) {
     all.push_back(Endpoint{address, 1});
   }
   constexpr std::uint64_t kServers = 50;
-  for (const KnownPeer& self : all) {
+  for (const PeerInfo& self : all) {
     PeerDirectory directory({}, self, {}, time, *random);
-    directory.onTold(all);
+    directory.onPeersReported(all);
     for (std::uint64_t server = 1; server <= kServers; ++server) {
       owners[server] += directory.isOwner(server, kOwnersOfColdServer) ? 1 : 0;
     }
@@ -117,7 +117,7 @@
           PeerDirectorySettings(), Endpoint{own + 1, 1}, std::vector<Endpoint>(), time, *random));
       for (std::uint32_t peer = 0; peer < fleet; ++peer) {
         if ((own < split) == (peer < split)) {
-          directories.back()->onAlive({peer + 1, 1});
+          directories.back()->onAnswer({peer + 1, 1});
         }
       }
       limits.push_back(start(own));
--- a/tests/runtime/udp_peer_socket_test.cc
+++ b/tests/runtime/udp_peer_socket_test.cc
@@ -83,17 +83,17 @@
   PeerHarness harness;
   const auto asked = harness.make(kAsked);
   asked->fill(100);
-  asked->directory.onAlive({5, 1});
+  asked->directory.onAnswer({5, 1});
   harness.ask(0);
   REQUIRE(*harness.answer);
   CHECK(harness.answer->value().status.position == 12);
   CHECK(harness.answer->value().status.age_ms == 30);
   CHECK(harness.answer->value().is_whole);
   CHECK(harness.answer->value().changes.size() == 1);
-  const std::vector<KnownPeer>& peers = harness.answer->value().peers;
-  CHECK(std::count(peers.begin(), peers.end(), KnownPeer(Endpoint{5, 1})) == 1);
+  const std::vector<PeerInfo>& peers = harness.answer->value().peers;
+  CHECK(std::count(peers.begin(), peers.end(), PeerInfo(Endpoint{5, 1})) == 1);
   // Who asks is known by its control address.
-  const auto known = asked->directory.recent();
+  const auto known = asked->directory.recentPeers();
   CHECK(std::count(known.begin(), known.end(), Endpoint{kAsking, 1}) == 1);
 }
 
--- a/tests/wire/view_transfer_codec_test.cc
+++ b/tests/wire/view_transfer_codec_test.cc
@@ -71,7 +71,7 @@
   CHECK(encoded.size() <= kMaxDatagramBytes);
   CHECK(decodeViewMessage(encoded, kKey));
   const PeersReply reply{
-      ~0ULL, std::vector<KnownPeer>(kMaxPeersInMessage, KnownPeer({0x0affffff, 65535}, 255))};
+      ~0ULL, std::vector<PeerInfo>(kMaxPeersInMessage, PeerInfo({0x0affffff, 65535}, 255))};
   const Bytes list = encodeViewMessage(reply, kKey);
   CHECK(list.size() <= kMaxDatagramBytes);
   CHECK(decodeViewMessage(list, kKey));
@@ -92,7 +92,7 @@
 
 TEST_CASE("a body is read as it was written", "[view_transfer_codec]") {
   const ViewBody body{
-      {{{"a", "value", 7, 3}, false}, {{"b", "", 9, 0}, true}}, 9, true, {KnownPeer({1, 2}, 7)}};
+      {{{"a", "value", 7, 3}, false}, {{"b", "", 9, 0}, true}}, 9, true, {PeerInfo({1, 2}, 7)}};
   const auto read = decodeViewBody(encodeViewBody(body));
   REQUIRE(read);
   REQUIRE(read.value().changes.size() == 2);
@@ -103,7 +103,7 @@
   CHECK(read.value().changes[1].deleted);
   CHECK(read.value().at == 9);
   CHECK(read.value().is_whole);
-  CHECK(read.value().peers == std::vector<KnownPeer>{KnownPeer({1, 2}, 7)});
+  CHECK(read.value().peers == std::vector<PeerInfo>{PeerInfo({1, 2}, 7)});
   CHECK(decodeViewBody(encodeViewBody({})));
 }
 
@@ -169,7 +169,7 @@
   std::vector<Change> changes;
   Revision at = 0;
   bool is_whole = false;
-  std::vector<KnownPeer> peers;
+  std::vector<PeerInfo> peers;
   auto fields() { return std::tie(changes, at, is_whole, peers); }
 };
 
