--- a/src/discovery/evidence_collector.cc
+++ b/src/discovery/evidence_collector.cc
@@ -9,27 +9,30 @@
 
 namespace {
 
-/** IP and UDP headers, the tag, the type and the fields beside servers and the zone's name. */
+/** IP and UDP headers, the tag, the type, and the fields other than backends and the zone's name.
+ */
 constexpr std::size_t kHeaderBytes = 28 + 16 + 18;
-/** A digest waits until it may hold some eight servers: its headers take as much as these. */
-constexpr double kLeastBytes = 130;
-/** Time for which the most repetitions before an answer go into digests. */
-constexpr Duration kSurvivedFor = seconds(60);
-/** Reporters and flows are counted up to here, so that they fit into a byte. */
-constexpr std::uint8_t kMostCounted = 200;
+/** Smallest budget for a digest: about eight backends, which take as many bytes as the
+ * headers. */
+constexpr double kMinDigestBytes = 130;
+/** Time for which the maximum of retransmissions before an answer is reported in digests. */
+constexpr Duration kRetransmissionsTtl = seconds(60);
+/** Limit of the counts of reporters and flows, which are sent as one byte. */
+constexpr std::uint8_t kMaxCount = 200;
 /**
- * Counts from which a receiver with default SharedEvidenceSettings passes a server over, or takes
- * it for dead. Changes up to these are sent at once, changes above them with the next repeat.
+ * Counts from which a receiver with default SharedEvidenceSettings excludes a backend from
+ * placement or marks it dead. Changes up to these counts are sent at once, changes above them with
+ * the next periodic report.
  */
-constexpr std::uint8_t kReportersThatMatter = 2;
-constexpr std::uint8_t kFlowsThatMatter = 3;
-constexpr std::uint8_t kRepetitionsThatMatter = 4;
+constexpr std::uint8_t kDecisiveReporters = 2;
+constexpr std::uint8_t kDecisiveFlows = 3;
+constexpr std::uint8_t kDecisiveRetransmissions = 4;
 
-/** @return what receivers decide by: a server goes into digests again when this changes. */
-std::tuple<int, bool, int> decisiveOf(const SummedSilence& summed) {
-  const bool has_flows = summed.seen.flows >= kFlowsThatMatter;
-  return {std::min(summed.reporters, kReportersThatMatter), has_flows,
-          has_flows ? std::min(summed.seen.repetitions, kRepetitionsThatMatter) : 0};
+/** @return the values that receivers decide by; a backend is sent again when they change. */
+std::tuple<int, bool, int> decisiveCounts(const SummedSilence& summed) {
+  const bool has_flows = summed.seen.flows >= kDecisiveFlows;
+  return {std::min(summed.reporters, kDecisiveReporters), has_flows,
+          has_flows ? std::min(summed.seen.repetitions, kDecisiveRetransmissions) : 0};
 }
 
 }  // namespace
@@ -50,71 +53,72 @@
   if (subscribers_.contains(from) || has_room) {
     Subscriber& subscriber = subscribers_[from];
     subscriber.reported_at = time_source_.monotonicTime();
-    subscriber.owes_answer = true;
+    subscriber.answer_pending = true;
   }
-  take(report, from);
+  addReport(report, from);
 }
 
-void EvidenceCollector::take(const EvidenceReport& report, Endpoint from) {
+void EvidenceCollector::addReport(const EvidenceReport& report, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (report.survived_repetitions >= survived_ || now - survived_at_ > kSurvivedFor) {
-    survived_ = report.survived_repetitions;
-    survived_at_ = now;
+  if (report.survived_repetitions >= answered_retransmissions_ ||
+      now - answered_retransmissions_at_ > kRetransmissionsTtl) {
+    answered_retransmissions_ = report.survived_repetitions;
+    answered_retransmissions_at_ = now;
   }
   for (const ServerLife& alive : report.alive) {
-    noteLife(alive.backend, fromWireAge(now, alive.age_ms));
+    recordLife(alive.backend, fromWireAge(now, alive.age_ms));
   }
-  if (isAboutItself(report)) {
+  if (hasFailedPath(report)) {
     ++counters_.reports_excluded;
-    leaveOut(from);
+    excludeReporter(from);
     return;
   }
   for (const ServerSilence& silent : report.silent) {
-    noteSilence(silent, from);
+    recordSilence(silent, from);
   }
 }
 
-bool EvidenceCollector::isAboutItself(const EvidenceReport& report) const {
+bool EvidenceCollector::hasFailedPath(const EvidenceReport& report) const {
   return report.servers_in_use >= settings_.min_backends_in_use &&
          report.servers_silent > settings_.max_silent_fraction * report.servers_in_use;
 }
 
-void EvidenceCollector::leaveOut(Endpoint reporter) {
-  for (auto& [backend, server] : servers_) {
-    server.by_reporter.erase(reporter);
+void EvidenceCollector::excludeReporter(Endpoint reporter) {
+  for (auto& [backend, evidence] : backends_) {
+    evidence.by_reporter.erase(reporter);
   }
   log_.write(LogLevel::Info, "flow", "evidence_left_out",
              {{"from", reporter.isSet() ? toString(reporter) : std::string("self")},
-              {"cause", "names most servers of its own zone"}});
+              {"cause", "reports most backends of its zone as silent"}});
 }
 
-void EvidenceCollector::noteSilence(const ServerSilence& silent, Endpoint from) {
+void EvidenceCollector::recordSilence(const ServerSilence& silent, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
   const MonotonicTime attempt_at = fromWireAge(now, silent.attempt_age_ms);
   if (attempt_at == MonotonicTime() || now - attempt_at > settings_.report_ttl) {
     return;
   }
   if (silent.life_age_ms != kNeverMilliseconds) {
-    noteLife(silent.backend, fromWireAge(now, silent.life_age_ms));
+    recordLife(silent.backend, fromWireAge(now, silent.life_age_ms));
   }
-  servers_[silent.backend].by_reporter[from] = {silent.flows, silent.repetitions, attempt_at};
+  backends_[silent.backend].by_reporter[from] = {silent.flows, silent.repetitions, attempt_at};
 }
 
-void EvidenceCollector::noteLife(BackendId backend, MonotonicTime life_at) {
-  Server& server = servers_[backend];
-  server.life_at = std::max(server.life_at, life_at);
+void EvidenceCollector::recordLife(BackendId backend, MonotonicTime life_at) {
+  BackendEvidence& evidence = backends_[backend];
+  evidence.life_at = std::max(evidence.life_at, life_at);
 }
 
 void EvidenceCollector::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
-  for (auto& entry : servers_) {
-    Server& server = entry.second;
-    std::erase_if(server.by_reporter, [&](const auto& reported) {
-      const Seen& seen = reported.second;
-      return now - seen.attempt_at > settings_.report_ttl || seen.attempt_at < server.life_at;
+  for (auto& entry : backends_) {
+    BackendEvidence& evidence = entry.second;
+    std::erase_if(evidence.by_reporter, [&](const auto& reported) {
+      const Observation& seen = reported.second;
+      return now - seen.attempt_at > settings_.report_ttl || seen.attempt_at < evidence.life_at;
     });
   }
-  std::erase_if(servers_, [&](const auto& entry) {
+  std::erase_if(backends_, [&](const auto& entry) {
     return entry.second.by_reporter.empty() && now - entry.second.life_at > settings_.report_ttl;
   });
   std::erase_if(subscribers_, [&](const auto& entry) {
@@ -122,38 +126,40 @@
   });
 }
 
-SummedSilence EvidenceCollector::sum(BackendId backend, const Server& server,
-                                     MonotonicTime& attempt_at) const {
+SummedSilence EvidenceCollector::sumReports(BackendId backend, const BackendEvidence& evidence,
+                                            MonotonicTime& attempt_at) const {
   SummedSilence summed;
   summed.seen.backend = backend;
-  for (const auto& [reporter, seen] : server.by_reporter) {
-    summed.reporters = std::min<std::uint8_t>(kMostCounted, summed.reporters + 1);
+  for (const auto& [reporter, seen] : evidence.by_reporter) {
+    summed.reporters = std::min<std::uint8_t>(kMaxCount, summed.reporters + 1);
     summed.seen.flows =
-        static_cast<std::uint8_t>(std::min<int>(kMostCounted, summed.seen.flows + seen.flows));
+        static_cast<std::uint8_t>(std::min<int>(kMaxCount, summed.seen.flows + seen.flows));
     summed.seen.repetitions = std::max(summed.seen.repetitions, seen.repetitions);
     attempt_at = std::max(attempt_at, seen.attempt_at);
   }
   return summed;
 }
 
-void EvidenceCollector::noteChanges() {
-  for (auto& [backend, server] : servers_) {
+void EvidenceCollector::updateVersions() {
+  for (auto& [backend, evidence] : backends_) {
     MonotonicTime attempt_at;
-    const SummedSilence summed = sum(backend, server, attempt_at);
-    const bool is_later = attempt_at - server.told_attempt_at >= settings_.repeat_interval;
-    const bool shows_life = server.life_at - server.told_life_at >= settings_.min_digest_interval;
-    if (decisiveOf(summed) != decisiveOf(server.told) || is_later || shows_life) {
-      server.version = ++version_;
-      server.told = summed;
-      server.told_attempt_at = attempt_at;
-      server.told_life_at = server.life_at;
+    const SummedSilence summed = sumReports(backend, evidence, attempt_at);
+    const bool is_repeat_due = attempt_at - evidence.last_attempt_at >= settings_.repeat_interval;
+    const bool shows_life =
+        evidence.life_at - evidence.last_life_at >= settings_.min_digest_interval;
+    if (decisiveCounts(summed) != decisiveCounts(evidence.last_summary) || is_repeat_due ||
+        shows_life) {
+      evidence.version = ++version_;
+      evidence.last_summary = summed;
+      evidence.last_attempt_at = attempt_at;
+      evidence.last_life_at = evidence.life_at;
     }
   }
 }
 
 void EvidenceCollector::sendDigests() {
   removeExpired();
-  noteChanges();
+  updateVersions();
   for (auto& [to, subscriber] : subscribers_) {
     sendDigest(to, subscriber);
   }
@@ -161,75 +167,75 @@
 
 void EvidenceCollector::sendDigest(Endpoint to, Subscriber& subscriber) {
   EvidenceDigest digest;
-  const bool has_news = subscriber.version < version_;
-  if (!(has_news || subscriber.owes_answer) || !mayTell(subscriber)) {
+  const bool has_changes = subscriber.version < version_;
+  if (!(has_changes || subscriber.answer_pending) || !maySendDigest(subscriber)) {
     return;
   }
   digest.zone = zone_;
-  digest.survived_repetitions = survived_;
-  const double for_servers =
-      std::max(0.0, subscriber.bytes_left - static_cast<double>(wireBytesOf(digest)));
-  const auto most = static_cast<std::size_t>(for_servers / SummedSilence::kPackedBytes);
+  digest.survived_repetitions = answered_retransmissions_;
+  const double backend_bytes =
+      std::max(0.0, subscriber.available_bytes - static_cast<double>(wireBytesOf(digest)));
+  const auto max_backends = static_cast<std::size_t>(backend_bytes / SummedSilence::kPackedBytes);
   subscriber.version =
-      addNewerThan(subscriber.version, std::min(most, kMaxServersInEvidence), digest);
-  if (digest.silent.empty() && digest.alive.empty() && !subscriber.owes_answer) {
+      addChangesAfter(subscriber.version, std::min(max_backends, kMaxServersInEvidence), digest);
+  if (digest.silent.empty() && digest.alive.empty() && !subscriber.answer_pending) {
     return;
   }
-  subscriber.owes_answer = false;
-  subscriber.told_at = time_source_.monotonicTime();
-  subscriber.bytes_left -= static_cast<double>(wireBytesOf(digest));
+  subscriber.answer_pending = false;
+  subscriber.sent_at = time_source_.monotonicTime();
+  subscriber.available_bytes -= static_cast<double>(wireBytesOf(digest));
   ++counters_.digests;
   send_(to, digest);
 }
 
-bool EvidenceCollector::mayTell(Subscriber& subscriber) const {
+bool EvidenceCollector::maySendDigest(Subscriber& subscriber) const {
   const MonotonicTime now = time_source_.monotonicTime();
-  const double waited = std::chrono::duration<double>(now - subscriber.bytes_counted_at).count();
-  subscriber.bytes_left =
-      std::min(settings_.burst_bytes, subscriber.bytes_left + waited * settings_.bytes_per_second);
-  subscriber.bytes_counted_at = now;
-  return now - subscriber.told_at >= settings_.min_digest_interval &&
-         subscriber.bytes_left >= kLeastBytes;
+  const double elapsed_s = std::chrono::duration<double>(now - subscriber.refilled_at).count();
+  subscriber.available_bytes = std::min(
+      settings_.burst_bytes, subscriber.available_bytes + elapsed_s * settings_.bytes_per_second);
+  subscriber.refilled_at = now;
+  return now - subscriber.sent_at >= settings_.min_digest_interval &&
+         subscriber.available_bytes >= kMinDigestBytes;
 }
 
-std::uint64_t EvidenceCollector::addNewerThan(std::uint64_t version, std::size_t most,
-                                              EvidenceDigest& digest) const {
+std::uint64_t EvidenceCollector::addChangesAfter(std::uint64_t version, std::size_t max_backends,
+                                                 EvidenceDigest& digest) const {
   std::map<std::uint64_t, BackendId> changed;
-  for (const auto& [backend, server] : servers_) {
-    if (server.version > version) {
-      changed[server.version] = backend;
+  for (const auto& [backend, evidence] : backends_) {
+    if (evidence.version > version) {
+      changed[evidence.version] = backend;
     }
   }
   for (const auto& [changed_at, backend] : changed) {
-    if (digest.silent.size() + digest.alive.size() >= most) {
+    if (digest.silent.size() + digest.alive.size() >= max_backends) {
       return version;
     }
-    addServer(backend, servers_.at(backend), digest);
+    addBackend(backend, backends_.at(backend), digest);
     version = changed_at;
   }
   return version_;
 }
 
-void EvidenceCollector::addServer(BackendId backend, const Server& server,
-                                  EvidenceDigest& digest) const {
+void EvidenceCollector::addBackend(BackendId backend, const BackendEvidence& evidence,
+                                   EvidenceDigest& digest) const {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (server.by_reporter.empty()) {
-    if (server.life_at != MonotonicTime()) {
-      digest.alive.push_back({backend, toWireAge(now, server.life_at)});
+  if (evidence.by_reporter.empty()) {
+    if (evidence.life_at != MonotonicTime()) {
+      digest.alive.push_back({backend, toWireAge(now, evidence.life_at)});
     }
     return;
   }
   MonotonicTime attempt_at;
-  SummedSilence summed = sum(backend, server, attempt_at);
+  SummedSilence summed = sumReports(backend, evidence, attempt_at);
   summed.seen.attempt_age_ms = toWireAge(now, attempt_at);
-  summed.seen.life_age_ms = toWireAge(now, server.life_at);
+  summed.seen.life_age_ms = toWireAge(now, evidence.life_at);
   digest.silent.push_back(summed);
 }
 
 EvidenceDigest EvidenceCollector::digest() const {
-  EvidenceDigest digest{zone_, survived_, {}, {}};
-  for (const auto& [backend, server] : servers_) {
-    addServer(backend, server, digest);
+  EvidenceDigest digest{zone_, answered_retransmissions_, {}, {}};
+  for (const auto& [backend, evidence] : backends_) {
+    addBackend(backend, evidence, digest);
   }
   return digest;
 }
--- a/src/discovery/evidence_exchange.cc
+++ b/src/discovery/evidence_exchange.cc
@@ -19,7 +19,7 @@
       time_source_(time_source),
       collector_(EvidenceCollectorSettings(), reporter.zone(), time_source, log,
                  [this](Endpoint to, const EvidenceDigest& digest) { send_(to, digest); }),
-      bytes_left_(settings.burst_bytes) {}
+      available_bytes_(settings.burst_bytes) {}
 
 void EvidenceExchange::start() {
   scheduler_.callAfter(settings_.interval, [this] {
@@ -30,7 +30,7 @@
 
 void EvidenceExchange::tick() {
   refillBytes();
-  if (bytes_left_ > 0) {
+  if (available_bytes_ > 0) {
     report();
   }
   if (collector_.hasSubscribers()) {
@@ -51,8 +51,8 @@
   const MonotonicTime now = time_source_.monotonicTime();
   for (const Endpoint to : recipients()) {
     Candidate& candidate = candidates_[to];
-    candidate.asked_at = candidate.asked_at == MonotonicTime() ? now : candidate.asked_at;
-    bytes_left_ -= static_cast<double>(wireBytesOf(*report));
+    candidate.reported_at = candidate.reported_at == MonotonicTime() ? now : candidate.reported_at;
+    available_bytes_ -= static_cast<double>(wireBytesOf(*report));
     ++counters_.reports_sent;
     send_(to, *report);
   }
@@ -75,7 +75,7 @@
     const Endpoint to{peer.address, port_};
     const auto known = candidates_.find(to);
     const bool is_known = known != candidates_.end();
-    if (is_known && isUseless(known->second)) {
+    if (is_known && isIneligible(known->second)) {
       continue;
     }
     if (is_known && known->second.answered_at != MonotonicTime()) {
@@ -89,14 +89,14 @@
   return chosen;
 }
 
-bool EvidenceExchange::isUseless(const Candidate& candidate) const {
+bool EvidenceExchange::isIneligible(const Candidate& candidate) const {
   const bool has_answered = candidate.answered_at != MonotonicTime();
-  return isSilent(candidate) || (has_answered && !candidate.is_of_own_zone);
+  return hasTimedOut(candidate) || (has_answered && !candidate.is_in_local_zone);
 }
 
-bool EvidenceExchange::isSilent(const Candidate& candidate) const {
-  return candidate.asked_at != MonotonicTime() &&
-         time_source_.monotonicTime() - candidate.asked_at > settings_.answer_timeout;
+bool EvidenceExchange::hasTimedOut(const Candidate& candidate) const {
+  return candidate.reported_at != MonotonicTime() &&
+         time_source_.monotonicTime() - candidate.reported_at > settings_.answer_timeout;
 }
 
 void EvidenceExchange::removeExpired() {
@@ -105,18 +105,19 @@
     const Candidate& candidate = entry.second;
     const bool is_old = candidate.answered_at != MonotonicTime() &&
                         now - candidate.answered_at > settings_.zone_ttl;
-    const bool was_left_alone =
-        candidate.asked_at != MonotonicTime() &&
-        now - candidate.asked_at > settings_.answer_timeout + settings_.unanswered_cooldown;
-    return is_old || was_left_alone;
+    const bool is_cooldown_over =
+        candidate.reported_at != MonotonicTime() &&
+        now - candidate.reported_at > settings_.answer_timeout + settings_.unanswered_cooldown;
+    return is_old || is_cooldown_over;
   });
 }
 
 void EvidenceExchange::refillBytes() {
   const MonotonicTime now = time_source_.monotonicTime();
-  const double waited = std::chrono::duration<double>(now - bytes_counted_at_).count();
-  bytes_left_ = std::min(settings_.burst_bytes, bytes_left_ + waited * settings_.bytes_per_second);
-  bytes_counted_at_ = now;
+  const double elapsed_s = std::chrono::duration<double>(now - refilled_at_).count();
+  available_bytes_ =
+      std::min(settings_.burst_bytes, available_bytes_ + elapsed_s * settings_.bytes_per_second);
+  refilled_at_ = now;
 }
 
 void EvidenceExchange::onReport(const EvidenceReport& report, Endpoint from) {
@@ -131,9 +132,9 @@
 void EvidenceExchange::onDigest(const EvidenceDigest& digest, Endpoint from) {
   Candidate& candidate = candidates_[from];
   candidate.answered_at = time_source_.monotonicTime();
-  candidate.asked_at = MonotonicTime();
-  candidate.is_of_own_zone = digest.zone == reporter_.zone();
-  if (!candidate.is_of_own_zone) {
+  candidate.reported_at = MonotonicTime();
+  candidate.is_in_local_zone = digest.zone == reporter_.zone();
+  if (!candidate.is_in_local_zone) {
     ++counters_.digests_from_other_zones;
     return;
   }
--- a/src/discovery/evidence_exchange.h
+++ b/src/discovery/evidence_exchange.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Takes the messages about silent servers. */
+/** Receives the messages about silent backends. */
 class EvidenceReceiver {
  public:
   virtual ~EvidenceReceiver() = default;
@@ -16,23 +16,24 @@
   virtual void onDigest(const EvidenceDigest& digest, Endpoint from) = 0;
 };
 
-/** Tunables of an EvidenceExchange. */
+/** Settings of an EvidenceExchange. */
 struct EvidenceExchangeSettings {
-  /** Time between checks for news; news reaches all of a zone after some two of these. */
+  /** Interval of checks for changes; a change reaches all of a zone after about two intervals. */
   Duration interval = milliseconds(100);
   /**
-   * Balancers of the own zone that sum for this one. A second one would halve the news that fits
-   * into the bytes; without it news pauses for `answer_timeout` when the one stops.
+   * Number of balancers of the local zone that collect this balancer's reports. A second one would
+   * halve the changes that fit into the byte limit. Without it, reports are interrupted for
+   * `answer_timeout` when the collector stops.
    */
   std::size_t collector_count = 1;
-  /** Balancers whose zone is not known yet that get one report; their answers name their zone. */
+  /** Limit of recipients per report whose zone is unknown; their answers contain their zone. */
   std::size_t max_unknown_recipients = 4;
-  /** Time after which a balancer that did not answer a report is left alone, and for how long. */
+  /** Time without an answer after which a balancer gets no reports, and the time it gets none. */
   Duration answer_timeout = seconds(1);
   Duration unanswered_cooldown = seconds(5);
-  /** Time for which a balancer's zone is remembered. */
+  /** Time after its last answer for which a balancer's zone is kept. */
   Duration zone_ttl = seconds(60);
-  /** Bytes a second of reports over all collectors, and at once. */
+  /** Rate and burst limit of reports to all collectors together. */
   double bytes_per_second = 350;
   double burst_bytes = 500;
 };
@@ -41,16 +42,16 @@
 struct EvidenceExchangeCounters {
   std::uint64_t reports_sent = 0;
   std::uint64_t digests_received = 0;
-  /** Messages from other zones, not used: evidence holds for the zone that it was seen from. */
+  /** Ignored messages from other zones: evidence applies only to the zone that observed it. */
   std::uint64_t reports_from_other_zones = 0;
   std::uint64_t digests_from_other_zones = 0;
 };
 
 /**
- * Carries evidence within a zone: each balancer reports what is new to the best of its zone in
- * PeerDirectory::ranked(), which sums all reports and sends digests to those that reported. Which
- * balancers run in the own zone is learnt from their answers. Nothing is sent while nothing is
- * silent.
+ * Exchanges evidence within a zone. Each balancer reports changes to a collector, the first
+ * balancer of its zone in PeerDirectory::ranked(). The collector aggregates all reports and sends
+ * digests to the reporters. The zones of other balancers are taken from their answers. Nothing is
+ * sent while no backend is silent.
  */
 class EvidenceExchange : public EvidenceReceiver {
  public:
@@ -58,7 +59,7 @@
 
   /**
    * @param self control address of this balancer.
-   * @param port of the datagrams, the same for all balancers of a fleet.
+   * @param port UDP port of the messages, the same for all balancers of a fleet.
    */
   EvidenceExchange(EvidenceExchangeSettings settings, EvidenceReporter& reporter,
                    SharedEvidence& shared, PeerDirectory& directory, Endpoint self,
@@ -74,23 +75,23 @@
   const EvidenceCollectorCounters& collectorCounters() const { return collector_.counters(); }
 
  private:
-  /** What is known of another balancer as one that sums. */
+  /** Another balancer as a possible collector. */
   struct Candidate {
-    /** Last answer; unset for none. */
+    /** Time of the last answer; unset if there was none. */
     MonotonicTime answered_at;
-    bool is_of_own_zone = false;
-    /** First report since then; unset for none. */
-    MonotonicTime asked_at;
+    bool is_in_local_zone = false;
+    /** Time of the first report after that; unset if there was none. */
+    MonotonicTime reported_at;
   };
 
   void tick();
   void report();
-  /** @return who gets reports: the best of the own zone, and some whose zone is not known. */
+  /** @return recipients of reports: the collectors and some balancers with an unknown zone. */
   std::vector<Endpoint> recipients();
   void removeExpired();
-  bool isSilent(const Candidate& candidate) const;
-  /** @return true for those that did not answer, and those of other zones. */
-  bool isUseless(const Candidate& candidate) const;
+  bool hasTimedOut(const Candidate& candidate) const;
+  /** @return true if the balancer did not answer or belongs to another zone. */
+  bool isIneligible(const Candidate& candidate) const;
   void refillBytes();
 
   const EvidenceExchangeSettings settings_;
@@ -104,8 +105,8 @@
   const TimeSource& time_source_;
   EvidenceCollector collector_;
   std::map<Endpoint, Candidate> candidates_;
-  double bytes_left_;
-  MonotonicTime bytes_counted_at_;
+  double available_bytes_;
+  MonotonicTime refilled_at_;
   EvidenceExchangeCounters counters_;
 };
 
--- a/src/discovery/freshness_budget.cc
+++ b/src/discovery/freshness_budget.cc
@@ -12,8 +12,9 @@
   return std::max(Duration::zero(), maxProbeAge() - max_fresh_age - poll_interval);
 }
 
-Duration FreshnessBudget::probeAge(double share, Duration spread) const {
-  const double later = (1.0 - share) * static_cast<double>(std::min(spread, maxSpread()).count());
+Duration FreshnessBudget::probeAge(double rank_fraction, Duration spread) const {
+  const double later =
+      (1.0 - rank_fraction) * static_cast<double>(std::min(spread, maxSpread()).count());
   return maxProbeAge() - Duration(static_cast<std::int64_t>(later));
 }
 
--- a/src/discovery/hedged_reads.h
+++ b/src/discovery/hedged_reads.h
@@ -7,21 +7,22 @@
 
 namespace lugfork {
 
-/** Tunables of HedgedReads. */
+/** Settings of HedgedReads. */
 struct HedgedReadSettings {
   /**
-   * Silence after which the same read is sent once more: longer than a slow store takes for an
-   * answer (4 ms, sixty times slower), much shorter than the time limit of a call.
+   * Time without an answer after which the read is sent again. Longer than a slow store needs for
+   * an answer (60 times the usual 4 ms), and much shorter than the timeout of a call.
    */
   Duration hedge_delay = milliseconds(300);
-  /** Sends of one read at most. */
+  /** Limit of sends of one read. */
   std::uint32_t max_sends = 5;
 };
 
 /**
- * Sends a read again, on another connection, while there is no answer: a connection that hung while
- * the store was silent stays silent, a new one is answered as soon as the store is back. The first
- * answer counts; the read has failed once the first send has. Watches are passed on as they are.
+ * Sends a read again on another connection while there is no answer. A connection that hung while
+ * the store was unavailable stays silent; a new one is answered as soon as the store recovers. The
+ * first answer counts. The read fails when its first send fails, or when any send gets an error
+ * other than a missing answer. Watches are forwarded unchanged.
  */
 class HedgedReads : public ItemSource {
  public:
@@ -30,7 +31,7 @@
   void readPage(const PageRequest& request, PageCallback callback) override;
   void watch(const WatchRequest& request, WatchCallback callback) override;
 
-  /** @return reads that were sent again. */
+  /** @return number of sends beyond the first one of each read. */
   std::uint64_t hedges() const { return hedges_; }
 
  private:
--- a/src/discovery/probe_schedule.cc
+++ b/src/discovery/probe_schedule.cc
@@ -5,20 +5,20 @@
 
 namespace lugfork {
 
-ProbeSchedule::ProbeSchedule(ProbeScheduleSettings settings, Endpoint own_address,
+ProbeSchedule::ProbeSchedule(ProbeScheduleSettings settings, Endpoint local_address,
                              PeerDirectory& directory, const TimeSource& time_source)
     : settings_(settings),
-      own_address_(own_address),
+      local_address_(local_address),
       directory_(directory),
       time_source_(time_source) {}
 
 void ProbeSchedule::onStateReceived(std::uint32_t age_ms) {
-  told_at_ = std::max(told_at_, time_source_.monotonicTime() - milliseconds(age_ms));
+  state_time_ = std::max(state_time_, time_source_.monotonicTime() - milliseconds(age_ms));
 }
 
 void ProbeSchedule::onNoFreshUpstream() {
-  if (!old_since_) {
-    old_since_ = time_source_.monotonicTime();
+  if (!no_fresh_upstream_since_) {
+    no_fresh_upstream_since_ = time_source_.monotonicTime();
   }
 }
 
@@ -29,13 +29,14 @@
 
 bool ProbeSchedule::isProbeDue() {
   const auto whole = static_cast<double>(spread().count());
-  const Duration own_delay(static_cast<std::int64_t>(ownShare() * whole));
-  return old_since_ && time_source_.monotonicTime() - *old_since_ >= own_delay;
+  const Duration local_delay(static_cast<std::int64_t>(rankFraction() * whole));
+  return no_fresh_upstream_since_ &&
+         time_source_.monotonicTime() - *no_fresh_upstream_since_ >= local_delay;
 }
 
 Duration ProbeSchedule::untilDeadline() {
-  const Duration age = time_source_.monotonicTime() - told_at_;
-  return settings_.budget.probeAge(ownShare(), spread()) - age;
+  const Duration age = time_source_.monotonicTime() - state_time_;
+  return settings_.budget.probeAge(rankFraction(), spread()) - age;
 }
 
 bool ProbeSchedule::mayProbe() {
@@ -48,15 +49,15 @@
 }
 
 Duration ProbeSchedule::spread() {
-  const double crowd = std::max(0.0, directory_.fleetSize() - settings_.unspread_fleet_size);
-  const std::chrono::duration<double> wanted(crowd / settings_.probes_per_second);
+  const double excess = std::max(0.0, directory_.fleetSize() - settings_.unspread_fleet_size);
+  const std::chrono::duration<double> wanted(excess / settings_.probes_per_second);
   const std::chrono::duration<double> longest(settings_.budget.maxSpread());
   return std::chrono::duration_cast<Duration>(std::min(wanted, longest));
 }
 
-double ProbeSchedule::ownShare() const {
+double ProbeSchedule::rankFraction() const {
   const double all_ranks = static_cast<double>(std::numeric_limits<PeerRank>::max());
-  return static_cast<double>(peerRank(own_address_)) / all_ranks;
+  return static_cast<double>(peerRank(local_address_)) / all_ranks;
 }
 
 }  // namespace lugfork
--- a/src/discovery/timed_source.h
+++ b/src/discovery/timed_source.h
@@ -6,7 +6,7 @@
 
 namespace lugfork {
 
-/** Times the reads of another source. Watches are not timed: how long they wait tells nothing. */
+/** Measures the time of another source's reads. Watches wait for changes and are not measured. */
 class TimedSource : public ItemSource {
  public:
   using TimeCallback = std::function<void(Duration)>;
@@ -14,7 +14,7 @@
   TimedSource(ItemSource& source, const TimeSource& time_source)
       : source_(source), time_source_(time_source) {}
 
-  /** Sets what is called with the time of each read that got an answer of any kind. */
+  /** Sets a callback that gets the duration of each read that was answered or failed. */
   void setReadTimeCallback(TimeCallback callback) { on_read_ = std::move(callback); }
 
   void readPage(const PageRequest& request, PageCallback callback) override {
--- a/tests/discovery/evidence_collector_test.cc
+++ b/tests/discovery/evidence_collector_test.cc
@@ -12,7 +12,7 @@
 const Endpoint kSecond{2, 1};
 const Endpoint kThird{3, 1};
 
-/** A report of a node that uses ten servers near it, one of which is silent. */
+/** A report of a balancer that uses ten backends of its zone, one of which is silent. */
 EvidenceReport reportOf(const std::vector<std::uint32_t>& servers,
                         std::uint16_t attempt_age_ms = 50) {
   EvidenceReport report{"lac", 10, 1, 0, {}, {}};
@@ -22,13 +22,13 @@
   return report;
 }
 
-EvidenceReport lifeOf(std::uint32_t server, std::uint16_t age_ms) {
+EvidenceReport lifeReport(std::uint32_t server, std::uint16_t age_ms) {
   return {"lac", 10, 0, 0, {}, {{BackendId(server), age_ms}}};
 }
 
 struct Harness {
-  /** Lets the time between two digests pass. @return what was told to the balancer, or nothing. */
-  std::optional<EvidenceDigest> told(Endpoint to) {
+  /** Advances by the digest interval. @return the digest sent to the balancer, if there is one. */
+  std::optional<EvidenceDigest> digestFor(Endpoint to) {
     sent.clear();
     time.elapsed += milliseconds(200);
     collector.sendDigests();
@@ -44,7 +44,7 @@
       [this](Endpoint to, const EvidenceDigest& digest) { sent.insert_or_assign(to, digest); }};
 };
 
-TEST_CASE("reports of several balancers are summed", "[evidence_collector]") {
+TEST_CASE("reports of several balancers are aggregated", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5}), kFirst);
   EvidenceReport later = reportOf({5}, 10);
@@ -53,7 +53,7 @@
   later.silent[0].life_age_ms = 700;
   later.survived_repetitions = 4;
   harness.collector.onReport(later, kSecond);
-  const auto digest = harness.told(kFirst);
+  const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest);
   CHECK(digest->zone == "lac");
   CHECK(digest->survived_repetitions == 4);
@@ -62,15 +62,15 @@
   CHECK(digest->silent[0].seen == ServerSilence{BackendId(5), 4, 2, 210, 900});
 }
 
-TEST_CASE("a reporter counts once, however often it reports", "[evidence_collector]") {
+TEST_CASE("a reporter that reports repeatedly counts once", "[evidence_collector]") {
   Harness harness;
   for (int report = 0; report < 5; ++report) {
     harness.collector.onReport(reportOf({5}), kFirst);
   }
-  CHECK(harness.told(kFirst)->silent.at(0).reporters == 1);
+  CHECK(harness.digestFor(kFirst)->silent.at(0).reporters == 1);
 }
 
-TEST_CASE("a reporter that names most servers near it is left out", "[evidence_collector]") {
+TEST_CASE("a reporter that names most backends of its zone is excluded", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5, 6}), kFirst);
   harness.collector.onReport(reportOf({5}), kSecond);
@@ -78,31 +78,32 @@
   overloaded.servers_silent = 6;
   harness.collector.onReport(overloaded, kFirst);
   CHECK(harness.collector.counters().reports_excluded == 1);
-  const auto digest = harness.told(kFirst);
+  const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 1);
   CHECK(digest->silent[0].seen.backend == BackendId(5));
-  // What answers it counts all the same.
-  EvidenceReport answered = lifeOf(5, 0);
+  // Its signs of life of backends still count.
+  EvidenceReport answered = lifeReport(5, 0);
   answered.servers_silent = 6;
   harness.collector.onReport(answered, kFirst);
-  CHECK(harness.told(kSecond)->silent.empty());
+  CHECK(harness.digestFor(kSecond)->silent.empty());
 }
 
-TEST_CASE("an answer to anybody ends the evidence, and is told", "[evidence_collector]") {
+TEST_CASE("an answer to any balancer ends the evidence and is sent in a digest",
+          "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5}), kFirst);
   harness.collector.onReport(reportOf({5}), kSecond);
-  CHECK(harness.told(kFirst)->silent.at(0).reporters == 2);
-  harness.collector.onReport(lifeOf(5, 30), kThird);
-  const auto digest = harness.told(kFirst);
+  CHECK(harness.digestFor(kFirst)->silent.at(0).reporters == 2);
+  harness.collector.onReport(lifeReport(5, 30), kThird);
+  const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest);
   CHECK(digest->silent.empty());
   CHECK(digest->alive == std::vector<ServerLife>{{BackendId(5), 230}});
-  CHECK_FALSE(harness.told(kFirst));
+  CHECK_FALSE(harness.digestFor(kFirst));
 }
 
-TEST_CASE("evidence ends by itself, and old reports tell nothing", "[evidence_collector]") {
+TEST_CASE("evidence expires, and reports with old attempts are ignored", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5}), kFirst);
   harness.collector.onReport(reportOf({6}, 1501), kFirst);
@@ -112,56 +113,57 @@
   CHECK(harness.collector.digest().silent.empty());
 }
 
-TEST_CASE("only what has changed is told, and each report is answered", "[evidence_collector]") {
+TEST_CASE("digests contain only changes, and each report is answered", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5}), kFirst);
-  CHECK(harness.told(kFirst)->silent.size() == 1);
-  CHECK_FALSE(harness.told(kFirst));
+  CHECK(harness.digestFor(kFirst)->silent.size() == 1);
+  CHECK_FALSE(harness.digestFor(kFirst));
   harness.collector.onReport(reportOf({6}), kSecond);
-  CHECK(harness.told(kFirst)->silent.at(0).seen.backend == BackendId(6));
-  CHECK(harness.told(kSecond) == std::nullopt);
+  CHECK(harness.digestFor(kFirst)->silent.at(0).seen.backend == BackendId(6));
+  CHECK(harness.digestFor(kSecond) == std::nullopt);
   harness.collector.onReport({"lac", 10, 0, 0, {}, {}}, kFirst);
-  CHECK(harness.told(kFirst)->silent.empty());
+  CHECK(harness.digestFor(kFirst)->silent.empty());
 }
 
-TEST_CASE("a balancer that reports first after a restart hears all", "[evidence_collector]") {
+TEST_CASE("a balancer's first report is answered with the complete state", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5, 6, 7}), kFirst);
-  CHECK(harness.told(kFirst)->silent.size() == 3);
+  CHECK(harness.digestFor(kFirst)->silent.size() == 3);
   harness.collector.onReport(reportOf({8}), kSecond);
-  CHECK(harness.told(kSecond)->silent.size() == 4);
+  CHECK(harness.digestFor(kSecond)->silent.size() == 4);
 }
 
-TEST_CASE("more servers than fit a message are told one after the other", "[evidence_collector]") {
+TEST_CASE("backends beyond the limit of a message are sent in later digests",
+          "[evidence_collector]") {
   Harness harness;
   std::set<BackendId> named;
-  for (std::uint32_t from = 0; from < 4; ++from) {
+  for (std::uint32_t reporter = 0; reporter < 4; ++reporter) {
     std::vector<std::uint32_t> servers;
     for (std::uint32_t server = 1; server <= kMaxServersInEvidence; ++server) {
-      servers.push_back(100 * from + server);
+      servers.push_back(100 * reporter + server);
     }
-    harness.collector.onReport(reportOf(servers), {10 + from, 1});
+    harness.collector.onReport(reportOf(servers), {10 + reporter, 1});
   }
   for (int round = 0; round < 15; ++round) {
-    if (const auto digest = harness.told({10, 1})) {
+    if (const auto digest = harness.digestFor({10, 1})) {
       CHECK(digest->silent.size() <= kMaxServersInEvidence);
       for (const SummedSilence& summed : digest->silent) {
         named.insert(summed.seen.backend);
       }
     }
-    for (std::uint32_t from = 1; from < 4; ++from) {
-      harness.collector.onReport(reportOf({100 * from + 1}), {10 + from, 1});
+    for (std::uint32_t reporter = 1; reporter < 4; ++reporter) {
+      harness.collector.onReport(reportOf({100 * reporter + 1}), {10 + reporter, 1});
     }
   }
   CHECK(named.size() > kMaxServersInEvidence);
 }
 
-TEST_CASE("nobody is told for longer than it reports", "[evidence_collector]") {
+TEST_CASE("a balancer that stops reporting gets no more digests", "[evidence_collector]") {
   Harness harness;
   harness.collector.onReport(reportOf({5}), kFirst);
   harness.time.elapsed += seconds(16);
   harness.collector.onReport(reportOf({6}), kSecond);
-  CHECK_FALSE(harness.told(kFirst));
+  CHECK_FALSE(harness.digestFor(kFirst));
 }
 
 }  // namespace
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -10,13 +10,13 @@
 
 constexpr std::uint16_t kControlPort = 1;
 constexpr std::uint16_t kPeerPort = 7;
-/** Beyond the datagram itself: IP and UDP. */
-constexpr std::size_t kHeaders = 28;
+/** IP and UDP headers. */
+constexpr std::size_t kHeaderBytes = 28;
 const PeerKey kKey{};
 
 struct Fleet;
 
-/** A balancer of the fleet: what it sees is set by the test. */
+/** A balancer of the fleet; the test sets its observations. */
 struct FleetNode {
   FleetNode(Fleet& fleet, std::uint32_t node_address, const std::string& node_zone,
             LinkClass link_class);
@@ -28,13 +28,13 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   PeerDirectory directory;
   EvidenceExchange exchange;
-  /** Takes no message: stopped, or of a version that does not know these. */
-  bool is_deaf = false;
+  /** Handles no messages: stopped, or a version without support for them. */
+  bool is_unresponsive = false;
   std::size_t bytes = 0;
   std::size_t messages = 0;
 };
 
-/** Balancers on one clock, whose messages pass at once through the codec. */
+/** Balancers on one clock that exchange encoded messages. */
 struct Fleet {
   FleetNode& add(const std::string& zone, LinkClass link = 3) {
     const auto address = static_cast<std::uint32_t>(nodes.size() + 1);
@@ -42,7 +42,7 @@
     return *nodes.back();
   }
 
-  /** All know each other, with their links, and begin. */
+  /** Adds all balancers to each other's directories, and starts them. */
   void start() {
     for (const auto& node : nodes) {
       for (const auto& other : nodes) {
@@ -52,19 +52,19 @@
     }
   }
 
-  void carry(FleetNode& from, Endpoint to, const ViewMessage& message) {
+  void deliver(FleetNode& from, Endpoint to, const ViewMessage& message) {
     const Bytes datagram = encodeViewMessage(message, kKey);
-    from.bytes += datagram.size() + kHeaders;
+    from.bytes += datagram.size() + kHeaderBytes;
     ++from.messages;
     FleetNode& receiver = *nodes.at(to.address - 1);
-    if (receiver.is_deaf || from.is_deaf || areCut(from, receiver)) {
+    if (receiver.is_unresponsive || from.is_unresponsive || arePartitioned(from, receiver)) {
       return;
     }
-    receiver.bytes += datagram.size() + kHeaders;
+    receiver.bytes += datagram.size() + kHeaderBytes;
     const auto read = decodeViewMessage(datagram, kKey);
     REQUIRE(read);
     const Endpoint source{from.address, kPeerPort};
-    // Messages pass after the present call: nobody answers from within a send.
+    // Messages are delivered after the present call, so that no balancer answers within a send.
     scheduler.callAfter(milliseconds(1), [&receiver, source, content = read.value()] {
       if (const auto* report = std::get_if<EvidenceReport>(&content)) {
         receiver.exchange.onReport(*report, source);
@@ -74,8 +74,9 @@
     });
   }
 
-  bool areCut(const FleetNode& one, const FleetNode& other) const {
-    return one.zone != other.zone && (one.zone == cut_zone || other.zone == cut_zone);
+  bool arePartitioned(const FleetNode& one, const FleetNode& other) const {
+    return one.zone != other.zone &&
+           (one.zone == partitioned_zone || other.zone == partitioned_zone);
   }
 
   std::size_t messages() const {
@@ -89,7 +90,7 @@
   ManualTimeSource time;
   ManualScheduler scheduler{time};
   NullEventLog log;
-  std::string cut_zone = "none";
+  std::string partitioned_zone = "none";
   std::vector<std::unique_ptr<FleetNode>> nodes;
 };
 
@@ -104,11 +105,11 @@
           EvidenceExchangeSettings(), evidence.reporter, evidence.shared, directory,
           Endpoint{node_address, kControlPort}, kPeerPort,
           [this, &fleet](Endpoint to, const ViewMessage& message) {
-            fleet.carry(*this, to, message);
+            fleet.deliver(*this, to, message);
           },
           fleet.scheduler, fleet.time, fleet.log) {}
 
-/** Two strong and four weak balancers in each of two zones. */
+/** Two balancers with fast links and four with slow links in each of two zones. */
 struct SmallFleet : Fleet {
   SmallFleet() {
     for (const char* zone : {"lac", "ariana"}) {
@@ -119,14 +120,16 @@
     start();
   }
 
-  /** Both nodes lose a flow at each server near and far that is not among them. */
-  FleetNode& weak(std::size_t index) { return *nodes.at(2 + index); }
+  /** @return one of the four balancers with slow links of the first zone. */
+  FleetNode& slowLinkNode(std::size_t index) { return *nodes.at(2 + index); }
 };
 
-TEST_CASE("what two balancers lost, a third of their zone knows after three looks",
-          "[evidence_exchange]") {
+TEST_CASE(
+    "a backend that two balancers report is suspect for a third one of the zone after three "
+    "intervals",
+    "[evidence_exchange]") {
   SmallFleet fleet;
-  // Each has lost something once, so that it is told of what others lose.
+  // Each balancer has reported a silent backend once, so that it receives digests.
   for (const auto& node : fleet.nodes) {
     node->evidence.isAnswered(2);
     node->evidence.isAnswered(3);
@@ -135,26 +138,26 @@
     node->evidence.loses(30);
   }
   fleet.scheduler.advance(milliseconds(500));
-  fleet.weak(0).evidence.loses(5);
-  fleet.weak(1).evidence.loses(5);
+  fleet.slowLinkNode(0).evidence.loses(5);
+  fleet.slowLinkNode(1).evidence.loses(5);
   fleet.scheduler.advance(milliseconds(310));
-  CHECK(fleet.weak(2).evidence.suspects(5));
+  CHECK(fleet.slowLinkNode(2).evidence.suspects(5));
   CHECK(fleet.nodes[0]->evidence.suspects(5));
-  SECTION("but none of another zone") {
+  SECTION("balancers of another zone don't suspect it") {
     for (std::size_t index = 6; index < 12; ++index) {
       CHECK_FALSE(fleet.nodes[index]->evidence.suspects(5));
     }
   }
-  SECTION("until one gets an answer") {
-    fleet.weak(3).evidence.isAnswered(5);
+  SECTION("an answer to one balancer ends the suspicion") {
+    fleet.slowLinkNode(3).evidence.isAnswered(5);
     fleet.scheduler.advance(milliseconds(310));
-    CHECK_FALSE(fleet.weak(2).evidence.suspects(5));
+    CHECK_FALSE(fleet.slowLinkNode(2).evidence.suspects(5));
   }
 }
 
-TEST_CASE("a zone's cut leaves its evidence in it", "[evidence_exchange]") {
+TEST_CASE("evidence about a partition stays in the partitioned zone", "[evidence_exchange]") {
   SmallFleet fleet;
-  fleet.cut_zone = "lac";
+  fleet.partitioned_zone = "lac";
   for (std::size_t index = 0; index < 6; ++index) {
     FleetNode& node = *fleet.nodes[index];
     node.evidence.isAnswered(1);
@@ -173,7 +176,7 @@
   }
 }
 
-TEST_CASE("when the one that sums stops, the next in rank does so after a second",
+TEST_CASE("when the collector stops, the next in rank collects reports within a second",
           "[evidence_exchange]") {
   SmallFleet fleet;
   const auto stopped = static_cast<std::size_t>(GENERATE(0, 1));
@@ -182,25 +185,25 @@
     node->evidence.loses(30);
   }
   fleet.scheduler.advance(milliseconds(500));
-  fleet.nodes[stopped]->is_deaf = true;
+  fleet.nodes[stopped]->is_unresponsive = true;
   for (std::uint16_t round = 0; round < 15; ++round) {
     for (int index = 0; index < 3; ++index) {
-      fleet.weak(index).evidence.loses(29, round);
+      fleet.slowLinkNode(index).evidence.loses(29, round);
     }
     fleet.scheduler.advance(milliseconds(100));
   }
   for (int index = 0; index < 2; ++index) {
-    fleet.weak(index).evidence.loses(5);
+    fleet.slowLinkNode(index).evidence.loses(5);
   }
   fleet.scheduler.advance(milliseconds(700));
-  CHECK(fleet.weak(2).evidence.suspects(5));
+  CHECK(fleet.slowLinkNode(2).evidence.suspects(5));
 }
 
-TEST_CASE("old versions that do not know the messages are left alone for a while",
+TEST_CASE("balancers without support for the messages get no reports during a cooldown",
           "[evidence_exchange]") {
   SmallFleet fleet;
   for (std::size_t index = 1; index < fleet.nodes.size(); ++index) {
-    fleet.nodes[index]->is_deaf = true;
+    fleet.nodes[index]->is_unresponsive = true;
   }
   FleetNode& alone = *fleet.nodes[0];
   alone.evidence.isAnswered(1);
@@ -208,13 +211,13 @@
     alone.evidence.loses(5, static_cast<std::uint16_t>(round));
     fleet.scheduler.advance(milliseconds(100));
   }
-  // Eleven others, four at a time, each for two seconds; bounded by the bytes of reports.
+  // Eleven others, four at a time for two seconds each; limited by the byte rate of reports.
   CHECK(alone.bytes <= 4 * 350 + 500 + 400);
   CHECK(alone.evidence.own.isSuspect(BackendId(5)));
   CHECK_FALSE(alone.evidence.suspects(6));
 }
 
-TEST_CASE("nothing is sent in a calm hour", "[evidence_exchange]") {
+TEST_CASE("nothing is sent in an hour without silent backends", "[evidence_exchange]") {
   SmallFleet fleet;
   for (int second = 0; second < 3600; ++second) {
     for (const auto& node : fleet.nodes) {
@@ -227,8 +230,8 @@
   CHECK(fleet.messages() == 0);
 }
 
-/** Each of 140 balancers has several servers fall silent a second, as in a cut of its zone. */
-TEST_CASE("with 140 balancers a weak one sends and gets at most a kilobyte a second",
+/** Several backends per second become silent for each of 140 balancers, as in a zone partition. */
+TEST_CASE("with 140 balancers one with a slow link sends and receives at most 1 kB/s",
           "[evidence_exchange]") {
   Fleet fleet;
   for (const char* zone : {"lac", "ariana", "megrine"}) {
@@ -237,7 +240,7 @@
     }
   }
   fleet.start();
-  fleet.cut_zone = "lac";
+  fleet.partitioned_zone = "lac";
   const auto random = makeSeededRandom(3);
   constexpr std::size_t kSeconds = 10;
   for (std::size_t step = 0; step < kSeconds * 10; ++step) {
@@ -251,16 +254,17 @@
     }
     fleet.scheduler.advance(milliseconds(100));
   }
-  std::size_t most = 0;
-  std::size_t most_messages = 0;
+  std::size_t max_bytes = 0;
+  std::size_t max_messages = 0;
   for (const auto& node : fleet.nodes) {
-    most = std::max(most, node->link == 3 ? node->bytes : 0);
-    most_messages = std::max(most_messages, node->messages);
+    max_bytes = std::max(max_bytes, node->link == 3 ? node->bytes : 0);
+    max_messages = std::max(max_messages, node->messages);
   }
-  INFO("bytes a second of a weak node " << most / kSeconds << ", messages a second of a strong one "
-                                        << most_messages / kSeconds);
-  CHECK(most <= kSeconds * 1024);
-  CHECK(most_messages / kSeconds <= 250);
+  INFO("bytes per second of a balancer with a slow link "
+       << max_bytes / kSeconds << ", messages per second of one with a fast link "
+       << max_messages / kSeconds);
+  CHECK(max_bytes <= kSeconds * 1024);
+  CHECK(max_messages / kSeconds <= 250);
 }
 
 }  // namespace
--- a/tests/discovery/freshness_budget_test.cc
+++ b/tests/discovery/freshness_budget_test.cc
@@ -5,7 +5,7 @@
 namespace lugfork {
 namespace {
 
-TEST_CASE("the parts of a change's way add up to its bound", "[freshness_budget]") {
+TEST_CASE("the parts of the budget add up to the propagation limit", "[freshness_budget]") {
   const Duration bound = GENERATE(seconds(3), seconds(5), seconds(6), seconds(11));
   FreshnessBudget budget;
   budget.max_propagation_delay = bound;
@@ -16,13 +16,13 @@
   CHECK(budget.probeAge(0.0, budget.maxSpread()) == budget.max_fresh_age + budget.poll_interval);
 }
 
-TEST_CASE("balancers ask the store in their order, none after the latest age",
+TEST_CASE("balancers call the store in rank order, none after the maximum age",
           "[freshness_budget]") {
   const Duration spread = GENERATE(Duration::zero(), milliseconds(500), seconds(60));
   const FreshnessBudget budget;
   Duration before{};
-  for (const double share : {0.0, 0.25, 0.5, 0.75, 1.0}) {
-    const Duration age = budget.probeAge(share, spread);
+  for (const double rank_fraction : {0.0, 0.25, 0.5, 0.75, 1.0}) {
+    const Duration age = budget.probeAge(rank_fraction, spread);
     CHECK(age >= before);
     CHECK(age <= budget.maxProbeAge());
     CHECK(age >= budget.maxProbeAge() - spread);
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("a bound shorter than the store's answer leaves no time to wait", "[freshness_budget]") {
+TEST_CASE("a limit shorter than the store's answer time leaves no delay", "[freshness_budget]") {
   FreshnessBudget budget;
   budget.max_propagation_delay = milliseconds(500);
   CHECK(budget.maxProbeAge() == Duration::zero());
--- a/tests/discovery/hedged_reads_test.cc
+++ b/tests/discovery/hedged_reads_test.cc
@@ -7,8 +7,8 @@
 namespace lugfork {
 namespace {
 
-/** Keeps every call; the test answers each by its number. */
-struct ManyCalls : ItemSource {
+/** Collects all calls; the test answers each one by its index. */
+struct CallCollector : ItemSource {
   void readPage(const PageRequest&, PageCallback callback) override {
     pages.push_back(std::move(callback));
   }
@@ -29,14 +29,14 @@
 
   ManualTimeSource time;
   ManualScheduler scheduler{time};
-  ManyCalls source;
+  CallCollector source;
   HedgedReadSettings settings;
   HedgedReads reads{settings, source, scheduler};
   std::optional<Result<ItemPage, SourceError>> answer;
   int answers = 0;
 };
 
-TEST_CASE("a read that is answered in time is sent once", "[hedged_reads]") {
+TEST_CASE("a read that is answered within the hedge delay is sent once", "[hedged_reads]") {
   HedgeHarness harness;
   harness.scheduler.advance(milliseconds(250));
   harness.source.pages[0](ItemPage{{}, false, 7});
@@ -46,7 +46,7 @@
   CHECK(harness.reads.hedges() == 0);
 }
 
-TEST_CASE("a read that hangs is sent again, and the first answer counts", "[hedged_reads]") {
+TEST_CASE("a read without an answer is sent again, and the first answer counts", "[hedged_reads]") {
   HedgeHarness harness;
   harness.scheduler.advance(milliseconds(650));
   REQUIRE(harness.source.pages.size() == 3);
@@ -59,17 +59,17 @@
   CHECK(harness.reads.hedges() == 2);
 }
 
-TEST_CASE("a refusal counts at once, a later send's silence does not", "[hedged_reads]") {
+TEST_CASE("a refusal ends the read, a timeout of a later send does not", "[hedged_reads]") {
   HedgeHarness harness;
   harness.scheduler.advance(milliseconds(350));
   REQUIRE(harness.source.pages.size() == 2);
   harness.source.pages[1](SourceError::NoAnswer);
   CHECK(harness.answers == 0);
-  SECTION("refused") {
+  SECTION("the first send is refused") {
     harness.source.pages[0](SourceError::Throttled);
     CHECK(harness.answer->error() == SourceError::Throttled);
   }
-  SECTION("the first send has failed") {
+  SECTION("the first send times out") {
     harness.source.pages[0](SourceError::NoAnswer);
     CHECK(harness.answer->error() == SourceError::NoAnswer);
   }
@@ -77,7 +77,7 @@
   CHECK(harness.source.pages.size() == 2);
 }
 
-TEST_CASE("sends of one read are bounded; watches are sent once", "[hedged_reads]") {
+TEST_CASE("sends of one read are limited, and watches are sent once", "[hedged_reads]") {
   HedgeHarness harness;
   harness.reads.watch({"", 5, seconds(1)}, [](const Result<ItemChanges, SourceError>&) {});
   harness.scheduler.advance(seconds(10));
--- a/tests/discovery/probe_schedule_test.cc
+++ b/tests/discovery/probe_schedule_test.cc
@@ -24,7 +24,7 @@
   ProbeSchedule schedule{settings, own, directory, time};
 };
 
-TEST_CASE("a small fleet's turn is at once, and only while no upstream is fresh",
+TEST_CASE("in a small fleet a probe is due at once while no upstream is fresh",
           "[probe_schedule]") {
   ScheduleHarness harness;
   CHECK_FALSE(harness.schedule.isProbeDue());
@@ -34,7 +34,8 @@
   CHECK_FALSE(harness.schedule.isProbeDue());
 }
 
-TEST_CASE("the deadline counts from what was told, and never goes back", "[probe_schedule]") {
+TEST_CASE("the deadline counts from the newest state received and never moves back",
+          "[probe_schedule]") {
   ScheduleHarness harness;
   harness.time.elapsed += seconds(10);
   harness.schedule.onStateReceived(0);
@@ -48,7 +49,8 @@
   CHECK(harness.schedule.untilDeadline() == latest - milliseconds(300));
 }
 
-TEST_CASE("a store that does not answer is left alone for a while", "[probe_schedule]") {
+TEST_CASE("a store that does not answer is not called during the retry interval",
+          "[probe_schedule]") {
   ScheduleHarness harness;
   harness.schedule.onStoreError();
   CHECK_FALSE(harness.schedule.mayProbe());
@@ -62,7 +64,7 @@
   CHECK(harness.schedule.mayProbe());
 }
 
-TEST_CASE("a large fleet probes a store that does not answer more rarely", "[probe_schedule]") {
+TEST_CASE("a large fleet probes a store that does not answer less often", "[probe_schedule]") {
   ScheduleHarness harness(98);
   harness.schedule.onStoreError();
   harness.time.elapsed += harness.settings.store_retry_interval;
