--- a/src/discovery/first_view_reader.cc
+++ b/src/discovery/first_view_reader.cc
@@ -7,19 +7,19 @@
 
 namespace {
 
-Duration shareByRank(Duration whole, Endpoint own_address) {
+Duration delayByRank(Duration max_delay, Endpoint local_address) {
   constexpr auto kAllRanks = static_cast<double>(std::numeric_limits<PeerRank>::max());
-  const double share = static_cast<double>(peerRank(own_address)) / kAllRanks;
-  return Duration(static_cast<std::int64_t>(share * static_cast<double>(whole.count())));
+  const double fraction = static_cast<double>(peerRank(local_address)) / kAllRanks;
+  return Duration(static_cast<std::int64_t>(fraction * static_cast<double>(max_delay.count())));
 }
 
 }  // namespace
 
-FirstViewReader::FirstViewReader(FirstViewReaderSettings settings, Endpoint own_address,
+FirstViewReader::FirstViewReader(FirstViewReaderSettings settings, Endpoint local_address,
                                  PeerDirectory& directory, PeerClient& peers, Scheduler& scheduler,
                                  const TimeSource& time_source)
     : settings_(settings),
-      own_delay_(shareByRank(settings.store_spread, own_address)),
+      local_delay_(delayByRank(settings.store_spread, local_address)),
       directory_(directory),
       peers_(peers),
       scheduler_(scheduler),
@@ -29,30 +29,31 @@
   const auto read = std::make_shared<Read>();
   read->callback = std::move(callback);
   read->started_at = time_source_.monotonicTime();
-  refill(read);
-  // The best of them, then seeds: of many without a view each would take its time before a seed.
+  refillCandidates(read);
+  // Only the first of them precedes the seeds: each one without a view would delay the seeds by a
+  // timeout.
   if (!first.empty()) {
     read->candidates.push_front(first.front());
   }
-  askNext(read);
+  requestNext(read);
 }
 
-void FirstViewReader::askNext(const ReadPtr& read) {
-  if (isTimeForStore(*read)) {
+void FirstViewReader::requestNext(const ReadPtr& read) {
+  if (mustReadStore(*read)) {
     read->callback(std::nullopt);
     return;
   }
   if (read->candidates.empty()) {
-    refill(read);
-    scheduler_.callAfter(settings_.retry_delay, [this, read] { askNext(read); });
+    refillCandidates(read);
+    scheduler_.callAfter(settings_.retry_delay, [this, read] { requestNext(read); });
     return;
   }
   const Endpoint peer = read->candidates.front();
   read->candidates.pop_front();
-  ask(read, peer);
+  requestView(read, peer);
 }
 
-void FirstViewReader::ask(const ReadPtr& read, Endpoint peer) {
+void FirstViewReader::requestView(const ReadPtr& read, Endpoint peer) {
   peers_.readView(peer, 0, settings_.answer_timeout,
                   [this, read, peer](Result<PeerView, PeerRefusal> answer) {
                     onAnswer(read, peer, std::move(answer));
@@ -69,7 +70,7 @@
       return;
     }
     read->was_refused = true;
-    askNext(read);
+    requestNext(read);
     return;
   }
   const PeerRefusal& refusal = answer.error();
@@ -78,20 +79,20 @@
     directory_.onAnswer(peer);
   }
   if (refusal.cause == SourceError::Unavailable) {
-    // Else balancers without a view were asked again and again, before a seed that has one.
+    // Otherwise balancers without a view would be tried repeatedly before a seed that has one.
     directory_.onUnavailable(peer);
   }
   const bool is_referral = refusal.cause == SourceError::Throttled && !refusal.others.empty();
   if (is_referral && ++read->referrals <= settings_.max_referrals) {
-    ask(read, refusal.others.front());
+    requestView(read, refusal.others.front());
     return;
   }
   read->referrals = 0;
   read->candidates.insert(read->candidates.begin(), refusal.others.begin(), refusal.others.end());
-  askNext(read);
+  requestNext(read);
 }
 
-void FirstViewReader::refill(const ReadPtr& read) {
+void FirstViewReader::refillCandidates(const ReadPtr& read) {
   const std::vector<Endpoint> seeds = directory_.shuffledSeeds();
   read->candidates.assign(seeds.begin(), seeds.end());
   if (const auto peer = directory_.pickRandom()) {
@@ -99,9 +100,9 @@
   }
 }
 
-bool FirstViewReader::isTimeForStore(const Read& read) const {
+bool FirstViewReader::mustReadStore(const Read& read) const {
   const Duration limit = read.was_refused ? settings_.refusal_timeout : settings_.silence_timeout;
-  return time_source_.monotonicTime() - read.started_at >= limit + own_delay_;
+  return time_source_.monotonicTime() - read.started_at >= limit + local_delay_;
 }
 
 }  // namespace lugfork
--- a/src/discovery/first_view_reader.h
+++ b/src/discovery/first_view_reader.h
@@ -10,44 +10,48 @@
 
 namespace lugfork {
 
-/** Tunables of a FirstViewReader. */
+/** Settings of a FirstViewReader. */
 struct FirstViewReaderSettings {
-  /** A balancer that gives no sign for this long is passed over (a few round trips and a resend).
+  /**
+   * Time without a message after which the next balancer is tried; covers a few round trips and one
+   * retransmission.
    */
   Duration answer_timeout = milliseconds(120);
-  /** Pause before the same balancers are asked again. */
+  /** Delay before the same balancers are tried again. */
   Duration retry_delay = milliseconds(40);
-  /** Views older than this are not taken: the store may know better [see also UpstreamSource]. */
+  /** Maximum age of an accepted view; the store may have a newer state (see UpstreamSource). */
   Duration max_age = milliseconds(1800);
   /**
-   * Time after which the store is read instead, where no balancer gives a sign, and where some do
-   * but have no view. A fleet that starts together is up within half a second (chosen: enough for
-   * the slowest to be heard).
+   * Time after which the store is read instead: if no balancer answers, and if some answer without
+   * a usable view. A fleet that starts at once is up within 0.5 s, so that its slowest balancer can
+   * still answer.
    */
   Duration silence_timeout = milliseconds(400);
   Duration refusal_timeout = milliseconds(1000);
-  /** Added to that, in proportion to the own rank, so that the fleet does not come all at once. */
+  /** Maximum additional delay, in proportion to the rank, to spread the fleet's reads. */
   Duration store_spread = milliseconds(1500);
   /**
-   * Referrals followed one after the other without regard to that time: the balancer that is named
-   * has a copy planned for this one. Twice the levels of a fleet of thousands; a circle ends here.
+   * Limit of consecutive referrals that are followed regardless of these times, since the referred
+   * balancer has a copy planned for this one. Twice the depth of the distribution tree of a fleet
+   * of thousands; ends cycles of referrals.
    */
   std::size_t max_referrals = 8;
 };
 
 /**
- * Gets a balancer's first view from another one: asks the seeds and whomever they refer to, until
- * one tells its view or it is time to read the store.
+ * Reads a balancer's first view from a peer: sends requests to the seeds and to the balancers that
+ * they refer to, until one of them sends its view or the store has to be read.
  */
 class FirstViewReader {
  public:
-  /** Gets the view, or nothing where the store is to be read. */
+  /** Receives the view, or nothing if the store has to be read. */
   using Callback = std::function<void(std::optional<PeerView>)>;
 
-  FirstViewReader(FirstViewReaderSettings settings, Endpoint own_address, PeerDirectory& directory,
-                  PeerClient& peers, Scheduler& scheduler, const TimeSource& time_source);
+  FirstViewReader(FirstViewReaderSettings settings, Endpoint local_address,
+                  PeerDirectory& directory, PeerClient& peers, Scheduler& scheduler,
+                  const TimeSource& time_source);
 
-  /** @param first balancers to ask before the seeds. */
+  /** @param first preferred balancers; the first of them is tried before the seeds. */
   void read(std::vector<Endpoint> first, Callback callback);
 
  private:
@@ -56,20 +60,20 @@
     std::deque<Endpoint> candidates;
     MonotonicTime started_at;
     bool was_refused = false;
-    /** Referrals followed one after the other. */
+    /** Number of consecutive referrals followed. */
     std::size_t referrals = 0;
   };
   using ReadPtr = std::shared_ptr<Read>;
 
-  void askNext(const ReadPtr& read);
-  void ask(const ReadPtr& read, Endpoint peer);
+  void requestNext(const ReadPtr& read);
+  void requestView(const ReadPtr& read, Endpoint peer);
   void onAnswer(const ReadPtr& read, Endpoint peer, Result<PeerView, PeerRefusal> answer);
-  void refill(const ReadPtr& read);
-  bool isTimeForStore(const Read& read) const;
+  void refillCandidates(const ReadPtr& read);
+  bool mustReadStore(const Read& read) const;
 
   const FirstViewReaderSettings settings_;
-  /** Part of the spread that falls on this balancer. */
-  const Duration own_delay_;
+  /** Part of `store_spread` by which this balancer's read of the store is delayed. */
+  const Duration local_delay_;
   PeerDirectory& directory_;
   PeerClient& peers_;
   Scheduler& scheduler_;
--- a/src/discovery/peer_client.h
+++ b/src/discovery/peer_client.h
@@ -5,59 +5,59 @@
 
 namespace lugfork {
 
-/** Rate of a balancer's own link, as the whole part of its binary logarithm [log2 of Mbit/s]. */
+/** Rate of a balancer's link: binary logarithm, rounded down [log2 of Mbit/s]. */
 using LinkClass = std::uint8_t;
 
-/** @return the class of a link; 0 also stands for links that are not known. */
+/** @return the class of a link; 0 also stands for an unknown rate. */
 LinkClass linkClassOf(double megabits_per_second);
 
-/** Another balancer, as balancers tell each other of it. */
+/** A balancer, as balancers report it to each other. */
 struct PeerInfo {
   PeerInfo() = default;
-  /** Where nothing is known of the link, it counts as slow. */
+  /** A link of an unknown rate counts as slow. */
   PeerInfo(Endpoint control_address, LinkClass link_class = 0)
       : address(control_address), link(link_class) {}
 
-  /** Its control address. */
+  /** Control address. */
   Endpoint address;
   LinkClass link = 0;
   auto fields() { return std::tie(address, link); }
   bool operator==(const PeerInfo&) const = default;
 };
 
-/** How new another balancer's view is. */
+/** State of another balancer's view. */
 struct ViewStatus {
-  /** All changes up to this one are in the view. */
+  /** The view contains all changes up to this revision. */
   Revision position = 0;
-  /** Time since the store told it [ms]. */
+  /** Time since the view was current at the store [ms]. */
   std::uint32_t age_ms = 0;
-  /** False until the view is complete, and where the balancer is about to stop. */
+  /** False while the view is incomplete, and when the balancer is about to stop. */
   bool serves_view = false;
   auto fields() { return std::tie(position, age_ms, serves_view); }
 };
 
-/** What another balancer's view holds beyond a revision; its revisions are the store's own. */
+/** Content of another balancer's view after a revision. Revisions are those of the store. */
 struct PeerView {
   ViewStatus status;
-  /** All items of the view where it is whole, else what has changed. */
+  /** All items for a full view, otherwise the changes. */
   std::vector<ItemChange> changes;
-  /** Revision to which the changes lead. */
+  /** Revision that the changes lead to. */
   Revision at = 0;
-  /** Nothing is known of the time before: these are all items that exist. */
+  /** True for a full view: `changes` contains all existing items. */
   bool is_whole = false;
-  /** Balancers that the other one knows; only told with a whole view. */
+  /** Balancers known to the peer; only sent with a full view. */
   std::vector<PeerInfo> peers;
 };
 
-/** Why another balancer did not tell its view. */
+/** Reason why another balancer did not send its view. */
 struct PeerRefusal {
-  /** NoAnswer: silent; Unavailable: has no view; Throttled: its link is busy. */
+  /** NoAnswer: no response; Unavailable: has no view; Throttled: its link is busy. */
   SourceError cause = SourceError::NoAnswer;
-  /** Balancers that may be asked instead. */
+  /** Alternative balancers to request the view from. */
   std::vector<Endpoint> others;
 };
 
-/** Calls to other balancers. Each callback is called once, from the event loop, never at once. */
+/** Calls to other balancers. Each callback is called once, from the event loop, after return. */
 class PeerClient {
  public:
   virtual ~PeerClient() = default;
@@ -66,13 +66,13 @@
   using PeersCallback = std::function<void(Result<std::vector<PeerInfo>, SourceError>)>;
 
   /**
-   * Reads what the peer's view holds beyond a revision.
-   * @param after 0 for the whole view.
-   * @param timeout time without any sign of the peer after which it counts as silent.
+   * Reads the content of the peer's view after a revision.
+   * @param after 0 for the full view.
+   * @param timeout longest time without any message from the peer.
    */
   virtual void readView(Endpoint peer, Revision after, Duration timeout, ViewCallback callback) = 0;
 
-  /** Shows this balancer to a peer and asks which others it knows. */
+  /** Announces this balancer to a peer and requests the peer's list of balancers. */
   virtual void exchangePeers(Endpoint peer, PeersCallback callback) = 0;
 };
 
--- a/src/discovery/peer_directory.cc
+++ b/src/discovery/peer_directory.cc
@@ -11,7 +11,7 @@
                              RandomGenerator& random)
     : settings_(settings),
       self_(self),
-      own_rank_(peerRank(self.address)),
+      local_rank_(peerRank(self.address)),
       seeds_(std::move(seeds)),
       is_seed_(std::find(seeds_.begin(), seeds_.end(), self_.address) != seeds_.end()),
       time_source_(time_source),
@@ -35,9 +35,9 @@
 void PeerDirectory::onPeersReported(const std::vector<PeerInfo>& peers) {
   for (const PeerInfo& peer : peers) {
     ++peers_visited_;
-    if (heard_.contains(peer.address)) {
-      // What others tell never refreshes what is known: a dead peer would be told for ever.
-      heard_.setLink(peer.address, std::max(heard_.linkOf(peer.address), peer.link));
+    if (peers_.contains(peer.address)) {
+      // Reports never refresh a known peer; otherwise a dead peer would be reported forever.
+      peers_.setLink(peer.address, std::max(peers_.linkOf(peer.address), peer.link));
     } else if (!isQuarantined(peer.address)) {
       add(peer);
     }
@@ -45,37 +45,37 @@
 }
 
 void PeerDirectory::onFailed(Endpoint peer) {
-  heard_.erase(peer);
+  peers_.erase(peer);
   quarantined_until_[peer] = time_source_.monotonicTime() + settings_.quarantine;
-  forgetFrom(quarantined_until_[peer]);
+  scheduleExpiry(quarantined_until_[peer]);
 }
 
 void PeerDirectory::onUnavailable(Endpoint peer) {
   unavailable_until_[peer] = time_source_.monotonicTime() + settings_.unavailable_quarantine;
-  forgetFrom(unavailable_until_[peer]);
+  scheduleExpiry(unavailable_until_[peer]);
 }
 
 void PeerDirectory::onViewReported(Endpoint peer) {
   const MonotonicTime now = time_source_.monotonicTime();
-  const auto [entry, is_new] = view_shown_at_.try_emplace(peer, now);
+  const auto [entry, is_new] = view_reported_at_.try_emplace(peer, now);
   if (!is_new) {
-    shown_views_.erase({entry->second, peer});
+    reported_views_.erase({entry->second, peer});
     entry->second = now;
   }
-  shown_views_.insert({now, peer});
-  forgetFrom(now + settings_.view_ttl);
+  reported_views_.insert({now, peer});
+  scheduleExpiry(now + settings_.view_ttl);
 }
 
 std::vector<Endpoint> PeerDirectory::peersWithView(std::size_t limit) {
   removeExpired();
   std::vector<Endpoint> peers;
-  for (const ShownView& shown : shown_views_) {
+  for (const ReportedView& reported : reported_views_) {
     if (peers.size() == limit) {
       break;
     }
     ++peers_visited_;
-    if (!isQuarantined(shown.peer) && !isUnavailable(shown.peer)) {
-      peers.push_back(shown.peer);
+    if (!isQuarantined(reported.peer) && !isUnavailable(reported.peer)) {
+      peers.push_back(reported.peer);
     }
   }
   return peers;
@@ -83,9 +83,9 @@
 
 std::optional<Endpoint> PeerDirectory::pickRandom() {
   removeExpired();
-  if (heard_.size() > 0) {
-    const auto place = static_cast<std::ptrdiff_t>(random_.below(heard_.size()));
-    return std::next(heard_.byAddress().begin(), place)->first;
+  if (peers_.size() > 0) {
+    const auto place = static_cast<std::ptrdiff_t>(random_.below(peers_.size()));
+    return std::next(peers_.byAddress().begin(), place)->first;
   }
   if (seeds_.empty()) {
     return std::nullopt;
@@ -96,7 +96,7 @@
 std::vector<Endpoint> PeerDirectory::recentPeers() {
   removeExpired();
   std::vector<Endpoint> peers;
-  for (const auto& [peer, heard] : heard_.byAddress()) {
+  for (const auto& [peer, entry] : peers_.byAddress()) {
     peers.push_back(peer);
   }
   return peers;
@@ -104,24 +104,24 @@
 
 bool PeerDirectory::hasPeers() {
   removeExpired();
-  return heard_.size() > 0;
+  return peers_.size() > 0;
 }
 
 std::vector<PeerInfo> PeerDirectory::peersToReport(std::size_t limit) {
   removeExpired();
-  std::vector<PeerInfo> told;
-  told.reserve(std::min(limit, heard_.size() + 1));
+  std::vector<PeerInfo> reported;
+  reported.reserve(std::min(limit, peers_.size() + 1));
   if (self_.address.isSet()) {
-    told.push_back(self_);
+    reported.push_back(self_);
   }
-  for (const RankedPeer& peer : heard_.byQuality()) {
-    if (told.size() >= limit) {
+  for (const RankedPeer& peer : peers_.byQuality()) {
+    if (reported.size() >= limit) {
       break;
     }
     ++peers_visited_;
-    told.push_back({peer.address, peer.link});
+    reported.push_back({peer.address, peer.link});
   }
-  return told;
+  return reported;
 }
 
 std::vector<Endpoint> PeerDirectory::shuffledSeeds() {
@@ -147,12 +147,12 @@
       if (peer != nullptr && BetterUpstream()(*peer, *seed)) {
         return;
       }
-      if (!heard_.contains(seed->address)) {
+      if (!peers_.contains(seed->address)) {
         take(*seed);
       }
     }
   };
-  for (const RankedPeer& peer : heard_.byQuality()) {
+  for (const RankedPeer& peer : peers_.byQuality()) {
     take_seeds_before(&peer);
     if (peers.size() >= limit) {
       return peers;
@@ -168,7 +168,7 @@
 }
 
 LinkClass PeerDirectory::linkOf(Endpoint peer) const {
-  return peer == self_.address ? self_.link : heard_.linkOf(peer);
+  return peer == self_.address ? self_.link : peers_.linkOf(peer);
 }
 
 bool PeerDirectory::isOwner(std::uint64_t key, std::size_t owners) {
@@ -177,14 +177,14 @@
     return XXH3_64bits(content, sizeof(content));
   };
   removeExpired();
-  if (heard_.size() >= settings_.max_peers && !isKeptByOthers()) {
+  if (peers_.size() >= settings_.max_peers && !isKeptByOthers()) {
     return false;
   }
-  const std::uint64_t own_weight = weight(own_rank_);
+  const std::uint64_t local_weight = weight(local_rank_);
   std::size_t before_self = 0;
-  for (const RankedPeer& peer : heard_.byRank()) {
+  for (const RankedPeer& peer : peers_.byRank()) {
     ++peers_visited_;
-    before_self += weight(peer.rank) < own_weight ? 1 : 0;
+    before_self += weight(peer.rank) < local_weight ? 1 : 0;
     if (before_self >= owners) {
       return false;
     }
@@ -193,27 +193,27 @@
 }
 
 bool PeerDirectory::isKeptByOthers() const {
-  const RankedPeer* last_of_fastest = lastOfFastest();
+  const RankedPeer* last_fast_peer = lastFastPeer();
   const bool is_fast =
-      last_of_fastest == nullptr || BetterUpstream()(RankedPeer(self_), *last_of_fastest);
-  return is_fast || own_rank_ <= highestKeptRank();
+      last_fast_peer == nullptr || BetterUpstream()(RankedPeer(self_), *last_fast_peer);
+  return is_fast || local_rank_ <= highestKeptRank();
 }
 
-const RankedPeer* PeerDirectory::lastOfFastest() const {
+const RankedPeer* PeerDirectory::lastFastPeer() const {
   const std::size_t count =
-      std::min({settings_.max_fast_peers, settings_.max_peers / 2, heard_.size()});
+      std::min({settings_.max_fast_peers, settings_.max_peers / 2, peers_.size()});
   peers_visited_ += count;
   return count == 0
              ? nullptr
-             : &*std::next(heard_.byQuality().begin(), static_cast<std::ptrdiff_t>(count) - 1);
+             : &*std::next(peers_.byQuality().begin(), static_cast<std::ptrdiff_t>(count) - 1);
 }
 
 const RankedPeer* PeerDirectory::highestKept() const {
-  const RankedPeer* last_of_fastest = lastOfFastest();
-  const RankedPeers::ByRank& by_rank = heard_.byRank();
+  const RankedPeer* last_fast_peer = lastFastPeer();
+  const RankedPeers::ByRank& by_rank = peers_.byRank();
   for (auto peer = by_rank.rbegin(); peer != by_rank.rend(); ++peer) {
     ++peers_visited_;
-    if (last_of_fastest == nullptr || BetterUpstream()(*last_of_fastest, *peer)) {
+    if (last_fast_peer == nullptr || BetterUpstream()(*last_fast_peer, *peer)) {
       return &*peer;
     }
   }
@@ -227,13 +227,13 @@
 
 double PeerDirectory::fleetSize() {
   removeExpired();
-  if (heard_.size() < settings_.max_peers) {
-    return static_cast<double>(heard_.size()) + 1;
+  if (peers_.size() < settings_.max_peers) {
+    return static_cast<double>(peers_.size()) + 1;
   }
-  // All peers up to the highest rank that was kept for its rank are known.
+  // The directory contains all peers up to the highest rank that was kept for its rank.
   const PeerRank highest = highestKeptRank();
-  std::size_t known = heard_.size();
-  const RankedPeers::ByRank& by_rank = heard_.byRank();
+  std::size_t known = peers_.size();
+  const RankedPeers::ByRank& by_rank = peers_.byRank();
   for (auto peer = by_rank.rbegin(); peer != by_rank.rend() && peer->rank > highest; ++peer) {
     ++peers_visited_;
     --known;
@@ -254,33 +254,33 @@
 
 void PeerDirectory::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (now <= forget_from_) {
+  if (now <= next_expiry_) {
     return;
   }
-  forget_from_ = MonotonicTime::max();
-  forgetOldQuarantines(quarantined_until_);
-  forgetOldQuarantines(unavailable_until_);
-  peers_visited_ += heard_.size();
-  const MonotonicTime first_heard = heard_.eraseBefore(now - settings_.peer_ttl);
-  if (heard_.size() > 0) {
-    forgetFrom(first_heard + settings_.peer_ttl);
+  next_expiry_ = MonotonicTime::max();
+  removeExpiredQuarantines(quarantined_until_);
+  removeExpiredQuarantines(unavailable_until_);
+  peers_visited_ += peers_.size();
+  const MonotonicTime earliest_contact = peers_.eraseBefore(now - settings_.peer_ttl);
+  if (peers_.size() > 0) {
+    scheduleExpiry(earliest_contact + settings_.peer_ttl);
   }
-  while (!shown_views_.empty()) {
-    const ShownView oldest = *shown_views_.rbegin();
+  while (!reported_views_.empty()) {
+    const ReportedView oldest = *reported_views_.rbegin();
     if (now - oldest.at <= settings_.view_ttl) {
-      forgetFrom(oldest.at + settings_.view_ttl);
+      scheduleExpiry(oldest.at + settings_.view_ttl);
       break;
     }
-    view_shown_at_.erase(oldest.peer);
-    shown_views_.erase(oldest);
+    view_reported_at_.erase(oldest.peer);
+    reported_views_.erase(oldest);
   }
 }
 
-void PeerDirectory::forgetOldQuarantines(std::map<Endpoint, MonotonicTime>& quarantines) {
+void PeerDirectory::removeExpiredQuarantines(std::map<Endpoint, MonotonicTime>& quarantines) {
   const MonotonicTime now = time_source_.monotonicTime();
   std::erase_if(quarantines, [&](const auto& entry) { return now > entry.second; });
   for (const auto& [peer, until] : quarantines) {
-    forgetFrom(until);
+    scheduleExpiry(until);
   }
 }
 
@@ -290,9 +290,9 @@
   }
   removeExpired();
   const MonotonicTime now = time_source_.monotonicTime();
-  heard_.put(peer, now);
-  forgetFrom(now + settings_.peer_ttl);
-  if (heard_.size() > settings_.max_peers) {
+  peers_.put(peer, now);
+  scheduleExpiry(now + settings_.peer_ttl);
+  if (peers_.size() > settings_.max_peers) {
     evictHighestRank();
   }
 }
@@ -300,7 +300,7 @@
 void PeerDirectory::evictHighestRank() {
   const RankedPeer* highest = highestKept();
   if (highest != nullptr) {
-    heard_.erase(highest->address);
+    peers_.erase(highest->address);
   }
 }
 
--- a/src/discovery/peer_directory.h
+++ b/src/discovery/peer_directory.h
@@ -13,131 +13,132 @@
 
 namespace lugfork {
 
-/** Tunables of a PeerDirectory. */
+/** Settings of a PeerDirectory. */
 struct PeerDirectorySettings {
   /**
-   * Peers remembered at most, besides the seeds; those with the fastest links and the lowest ranks
-   * are kept. As many as one datagram tells, which tells the size of a larger fleet to about a
-   * tenth.
+   * Limit of stored peers, besides the seeds; those with the fastest links and the lowest ranks are
+   * kept. One datagram holds this many. The size of a larger fleet is estimated from them to within
+   * about 10%.
    */
   std::size_t max_peers = 100;
-  /** Time after which a peer that was not heard of is forgotten. */
+  /** Time after its last contact for which a peer is kept. */
   Duration peer_ttl = seconds(60);
-  /** Time for which a peer that failed is not taken back on the word of others. */
+  /** Time for which a failed peer is not added again when other peers report it. */
   Duration quarantine = seconds(30);
   /**
-   * Time for which a peer that answers but has no view, or an old one, is no upstream: it has just
-   * started, is about to stop, or the store does not answer it.
+   * Time for which a peer that answers without a fresh view is not used as an upstream: it has just
+   * started, is about to stop, or gets no answers from the store.
    */
   Duration unavailable_quarantine = seconds(2);
-  /** Time for which a peer that has shown a view is sure to have it still. */
+  /** Time for which a peer that reported a view is assumed to still have it. */
   Duration view_ttl = seconds(2);
   /**
-   * Peers with the fastest links that are remembered whatever their rank: more than watch the store
-   * in a fleet of 2,700.
+   * Number of peers with the fastest links that are kept regardless of their rank; more than watch
+   * the store in a fleet of 2,700.
    */
   std::size_t max_fast_peers = 16;
 };
 
 /**
- * Addresses of other balancers: the seeds of the settings, which may be old, and those that asked
- * this one or were told by another. Each node knows a few, whatever the size of the fleet. Since
- * the fastest links and the lowest ranks are kept, all nodes come to know the same ones.
+ * Addresses of other balancers: the seeds of the settings, which may be outdated, and peers that
+ * contacted this balancer, answered it, or were reported by other peers. The number of stored peers
+ * is limited independently of the size of the fleet. Since those with the fastest links and the
+ * lowest ranks are kept, the directories of all balancers converge.
  */
 class PeerDirectory {
  public:
   PeerDirectory(PeerDirectorySettings settings, PeerInfo self, std::vector<Endpoint> seeds,
                 const TimeSource& time_source, RandomGenerator& random);
 
-  /** A peer has answered this node. */
+  /** A peer has answered this balancer. */
   void onAnswer(Endpoint peer);
 
-  /** A peer has shown itself: it asked this node, and told its link. */
+  /** A peer has sent a request that contains the class of its link. */
   void onContact(const PeerInfo& peer);
 
-  /** Another node told of these peers. */
+  /** Another balancer has reported these peers. */
   void onPeersReported(const std::vector<PeerInfo>& peers);
 
-  /** A peer did not answer, or not well: it is forgotten and stays in quarantine for a while. */
+  /** A peer did not answer or sent an invalid answer: it is removed and quarantined. */
   void onFailed(Endpoint peer);
 
   /**
-   * A peer answers but has nothing new to tell: no view, or an old one. It is left alone for a
-   * short while, whatever it asks meanwhile; those next in rank take its place.
+   * A peer answers but has no fresh view. It is excluded as an upstream for a short time, even if
+   * it sends requests meanwhile; the next peers in rank are used instead.
    */
   void onUnavailable(Endpoint peer);
 
-  /** A peer has shown that it has a view. */
+  /** A peer's request shows that it has a view. */
   void onViewReported(Endpoint peer);
 
-  /** @return peers that have shown a view lately, the last first. */
+  /** @return peers that have recently reported a view, the latest first. */
   std::vector<Endpoint> peersWithView(std::size_t limit);
 
-  /** @return a random peer that was heard of lately, or a seed; nothing where there is none. */
+  /** @return a random recent peer, or a random seed if there is none, or nothing. */
   std::optional<Endpoint> pickRandom();
 
-  /** @return the peers heard of lately. */
+  /** @return the peers whose entries have not expired. */
   std::vector<Endpoint> recentPeers();
 
-  /** @return true where a peer was heard of lately. */
+  /** @return true if there is such a peer. */
   bool hasPeers();
 
-  /** @return this balancer and the peers heard of lately, the best upstreams first. */
+  /** @return this balancer, followed by recent peers with the best upstreams first. */
   std::vector<PeerInfo> peersToReport(std::size_t limit);
 
-  /** @return seeds in a random order, to ask first. */
+  /** @return the seeds in random order. */
   std::vector<Endpoint> shuffledSeeds();
 
-  /** @return true where others begin by asking this balancer. */
+  /** @return true if this balancer is a seed, which others contact first. */
   bool isSeed() const { return is_seed_; }
 
-  /** @return the best upstreams of peers and seeds that are not in quarantine, the best first. */
+  /** @return peers and seeds that are neither quarantined nor unavailable, best upstream first. */
   std::vector<Endpoint> ranked(std::size_t limit = std::numeric_limits<std::size_t>::max());
 
   /**
-   * @return true where the balancer on the left is the better upstream: the one with the faster
-   * link, since a large configuration fills a slow one; the lower rank where both are alike.
+   * @return true if the left balancer is the better upstream: the one with the faster link, since a
+   * large configuration saturates a slow one, or with the lower rank if the links are equal.
    */
   bool isBetterUpstream(Endpoint left, Endpoint right) const;
 
   /**
-   * @return true where this balancer is among the few that own a key, chosen by rendezvous hashing
-   * over all balancers that are known here.
+   * @return true if this balancer is among the `owners` owners of a key, chosen by rendezvous
+   * hashing over all balancers in the directory.
    */
   bool isOwner(std::uint64_t key, std::size_t owners);
 
   /**
-   * @return the number of balancers, this one included: counted while all fit in the directory,
-   * else estimated from how densely the ranks that were kept lie.
+   * @return the number of balancers including this one: exact while all fit into the directory,
+   * otherwise estimated from the density of the stored ranks.
    */
   double fleetSize();
 
-  /** @return the peers that were looked at one by one, for all time. */
+  /** @return total number of peers examined one by one; a measure of the work done. */
   std::uint64_t peersVisited() const { return peers_visited_; }
 
  private:
-  /** When a peer has shown a view; the last first. */
-  struct ShownView {
+  /** Time at which a peer reported a view; ordered with the latest first. */
+  struct ReportedView {
     MonotonicTime at;
     Endpoint peer;
-    bool operator<(const ShownView& other) const {
+    bool operator<(const ReportedView& other) const {
       return at == other.at ? peer < other.peer : at > other.at;
     }
   };
 
   void removeExpired();
-  /** Notes that something will be old from a time on. */
-  void forgetFrom(MonotonicTime time) { forget_from_ = std::min(forget_from_, time); }
-  void forgetOldQuarantines(std::map<Endpoint, MonotonicTime>& quarantines);
+  /** Schedules the next removal of expired state at that time or earlier. */
+  void scheduleExpiry(MonotonicTime time) { next_expiry_ = std::min(next_expiry_, time); }
+  void removeExpiredQuarantines(std::map<Endpoint, MonotonicTime>& quarantines);
   void add(const PeerInfo& peer);
   void evictHighestRank();
-  /** @return the last of the peers with the fastest links, which are never evicted; or nullptr. */
-  const RankedPeer* lastOfFastest() const;
-  /** @return the peer of the highest rank of those that were kept for their rank, or nullptr. */
+  /** @return the last of the peers with the fastest links, which are never evicted, or nullptr. */
+  const RankedPeer* lastFastPeer() const;
+  /** @return the peer with the highest rank of those kept for their rank, or nullptr. */
   const RankedPeer* highestKept() const;
-  /** @return the rank of that peer. */
+  /** @return the rank of that peer; at least 1, also if there is none. */
   PeerRank highestKeptRank() const;
-  /** @return true where this balancer is among those that all full directories keep. */
+  /** @return true if other balancers' full directories keep this balancer. */
   bool isKeptByOthers() const;
   LinkClass linkOf(Endpoint peer) const;
   bool isQuarantined(Endpoint peer) const;
@@ -145,20 +146,20 @@
 
   const PeerDirectorySettings settings_;
   const PeerInfo self_;
-  const PeerRank own_rank_;
+  const PeerRank local_rank_;
   std::vector<Endpoint> seeds_;
-  /** The seeds as peers of unknown links, the lowest rank first. */
+  /** The seeds as peers with unknown links, the lowest rank first. */
   std::set<RankedPeer, BetterUpstream> ranked_seeds_;
   const bool is_seed_;
   const TimeSource& time_source_;
   RandomGenerator& random_;
-  RankedPeers heard_;
+  RankedPeers peers_;
   std::map<Endpoint, MonotonicTime> quarantined_until_;
   std::map<Endpoint, MonotonicTime> unavailable_until_;
-  std::map<Endpoint, MonotonicTime> view_shown_at_;
-  std::set<ShownView> shown_views_;
-  /** Nothing above is old before this time. */
-  MonotonicTime forget_from_ = MonotonicTime::max();
+  std::map<Endpoint, MonotonicTime> view_reported_at_;
+  std::set<ReportedView> reported_views_;
+  /** No state of the members above expires before this time. */
+  MonotonicTime next_expiry_ = MonotonicTime::max();
   mutable std::uint64_t peers_visited_ = 0;
 };
 
--- a/src/discovery/peer_exchange.cc
+++ b/src/discovery/peer_exchange.cc
@@ -11,8 +11,8 @@
       random_(random) {}
 
 void PeerExchange::start() {
-  const auto longest = static_cast<std::uint64_t>(settings_.first_delay.count());
-  const Duration first(static_cast<std::int64_t>(random_.below(longest)));
+  const auto max_delay = static_cast<std::uint64_t>(settings_.first_delay.count());
+  const Duration first(static_cast<std::int64_t>(random_.below(max_delay)));
   scheduler_.callAfter(first, [this] { exchangeWithSeed(); });
   scheduler_.callAfter(first + settings_.second_delay, [this] {
     exchangeWithSeed();
--- a/src/discovery/peer_exchange.h
+++ b/src/discovery/peer_exchange.h
@@ -6,19 +6,20 @@
 
 namespace lugfork {
 
-/** Tunables of a PeerExchange. */
+/** Settings of a PeerExchange. */
 struct PeerExchangeSettings {
   Duration interval = seconds(10);
-  /** Longest random delay of the first exchange, so that a fleet does not ask its seeds at once. */
+  /** Maximum random delay of the first exchange, to spread the requests of a starting fleet. */
   Duration first_delay = seconds(1);
   /**
-   * Time from the first to the second exchange. Both go to a seed: whoever starts asks there first,
-   * so that seeds know all of a fleet that has started at once.
+   * Time from the first to the second exchange. Both go to a seed: since every balancer contacts
+   * seeds first, seeds know all balancers of a fleet that starts at once.
    */
   Duration second_delay = seconds(2);
 };
 
-/** Keeps a PeerDirectory filled: asks one peer after the other, a seed while none is known. */
+/** Keeps a PeerDirectory filled by periodic exchanges with a random peer, or a seed if none is
+ * known. */
 class PeerExchange {
  public:
   PeerExchange(PeerExchangeSettings settings, PeerDirectory& directory, PeerClient& client,
--- a/src/discovery/ranked_peers.cc
+++ b/src/discovery/ranked_peers.cc
@@ -27,7 +27,7 @@
     return;
   }
   const RankedPeer ranked(peer);
-  by_address_.emplace(peer.address, Heard{at, ranked});
+  by_address_.emplace(peer.address, Entry{at, ranked});
   by_quality_.insert(ranked);
   by_rank_.insert(ranked);
 }
--- a/src/discovery/ranked_peers.h
+++ b/src/discovery/ranked_peers.h
@@ -9,13 +9,13 @@
 
 namespace lugfork {
 
-/** Position of a balancer in an order that all balancers share without agreement. */
+/** Position of a balancer in an order that all balancers compute alike without coordination. */
 using PeerRank = std::uint64_t;
 
-/** @return the rank of a balancer: a hash of its address, so that ranks are spread evenly. */
+/** @return the rank of a balancer: a hash of its address, which distributes ranks evenly. */
 PeerRank peerRank(Endpoint peer);
 
-/** A peer with all that its places in the orders depend on. */
+/** A peer with the keys of both orders. */
 struct RankedPeer {
   RankedPeer() = default;
   explicit RankedPeer(const PeerInfo& peer)
@@ -26,7 +26,7 @@
   PeerRank rank = 0;
 };
 
-/** The faster link first; the lower rank where both are alike. */
+/** Orders by faster link, then by lower rank. */
 struct BetterUpstream {
   bool operator()(const RankedPeer& left, const RankedPeer& right) const;
 };
@@ -36,39 +36,39 @@
 };
 
 /**
- * Peers and when each was heard of, kept in the order of their ranks and in that of their worth as
- * upstreams. To sort 100 of them anew took 90 us of processor time for each poll and 1 ms for each
- * list of peers that another balancer told (control_work_bench); now 0.3 and 28 us.
+ * Peers with the time of their last contact, indexed by rank and by quality as upstreams. Sorting
+ * 100 peers on each use took 90 us of CPU time per poll and 1 ms per list of peers received from
+ * another balancer (control_work_bench); the indexes reduce this to 0.3 us and 28 us.
  */
 class RankedPeers {
  public:
   using ByQuality = std::set<RankedPeer, BetterUpstream>;
   using ByRank = std::set<RankedPeer, LowerRank>;
-  struct Heard {
+  struct Entry {
     MonotonicTime at;
     RankedPeer peer;
   };
-  using ByAddress = std::map<Endpoint, Heard>;
+  using ByAddress = std::map<Endpoint, Entry>;
 
-  /** Adds a peer, or takes its new link and time. */
+  /** Adds a peer, or updates its link and its time of contact. */
   void put(const PeerInfo& peer, MonotonicTime at);
 
-  /** Takes a peer's link; when it was heard of stays as it is. */
+  /** Updates a peer's link and leaves its time of contact unchanged. */
   void setLink(Endpoint address, LinkClass link);
   void erase(Endpoint address);
 
-  /** Forgets peers not heard of since a time. @return the earliest time of the others. */
+  /** Removes peers without contact since a time. @return the earliest time of the others. */
   MonotonicTime eraseBefore(MonotonicTime earliest);
 
   std::size_t size() const { return by_address_.size(); }
   bool contains(Endpoint address) const { return by_address_.contains(address); }
-  /** @return the link, 0 for a peer that is not known. */
+  /** @return the link, or 0 for an unknown peer. */
   LinkClass linkOf(Endpoint address) const;
 
   const ByAddress& byAddress() const { return by_address_; }
-  /** The best upstream first. */
+  /** @return peers with the best upstream first. */
   const ByQuality& byQuality() const { return by_quality_; }
-  /** The lowest rank first. */
+  /** @return peers with the lowest rank first. */
   const ByRank& byRank() const { return by_rank_; }
 
  private:
--- a/tests/discovery/discovery_fixture.h
+++ b/tests/discovery/discovery_fixture.h
@@ -9,7 +9,7 @@
 #include "discovery/item_source.h"
 #include "flow/router_harness.h"
 
-/** A scheduler on a settable clock, and a store whose answers the test gives by hand. */
+/** A scheduler with a manual clock, and a store whose answers are given by the test. */
 namespace lugfork {
 
 class ManualScheduler : public Scheduler {
@@ -20,7 +20,7 @@
     calls_.emplace(time_.elapsed + delay, std::move(function));
   }
 
-  /** Lets time pass and makes the calls that come due, in their order. */
+  /** Advances the clock and runs the calls that are due, in order. */
   void advance(Duration duration) {
     const Duration end = time_.elapsed + duration;
     while (!calls_.empty() && calls_.begin()->first <= end) {
@@ -38,7 +38,7 @@
   std::multimap<Duration, std::function<void()>> calls_;
 };
 
-/** Keeps the calls until the test answers them; one of each kind at a time for each prefix. */
+/** Holds calls until the test answers them: one pending call of each kind per prefix. */
 class ManualSource : public ItemSource {
  public:
   void readPage(const PageRequest& request, PageCallback callback) override {
--- a/tests/discovery/fake_peers.h
+++ b/tests/discovery/fake_peers.h
@@ -8,13 +8,13 @@
 
 namespace lugfork {
 
-/** Other balancers as the test sets them; whoever is not set is silent. */
+/** Other balancers with answers set by the test; those without an answer are silent. */
 struct FakePeers : PeerClient {
   explicit FakePeers(Scheduler& test_scheduler) : scheduler(test_scheduler) {}
 
   void readView(Endpoint peer, Revision after, Duration patience, ViewCallback callback) override {
-    asked.push_back(peer);
-    asked_after.push_back(after);
+    requested.push_back(peer);
+    requested_after.push_back(after);
     const auto found = answers.find(peer);
     const bool is_silent = found == answers.end();
     const auto answer = is_silent ? PeerRefusal{SourceError::NoAnswer, {}}
@@ -29,7 +29,7 @@
                                     : SourceError::NoAnswer);
   }
 
-  /** The peer tells changes, or its whole view. */
+  /** The peer answers with changes, or with its full view. */
   void answersWith(Endpoint peer, std::vector<ItemChange> changes, Revision at,
                    std::uint32_t age_ms = 100, bool is_whole = false) {
     answers.insert_or_assign(
@@ -43,10 +43,10 @@
   Scheduler& scheduler;
   std::map<Endpoint, Result<PeerView, PeerRefusal>> answers;
   std::vector<PeerInfo> reported_peers;
-  /** Time until an answer is there; a long one stands for a view whose parts trickle in. */
+  /** Time until an answer is complete; a long one simulates a view whose parts arrive slowly. */
   Duration answer_delay = milliseconds(1);
-  std::vector<Endpoint> asked;
-  std::vector<Revision> asked_after;
+  std::vector<Endpoint> requested;
+  std::vector<Revision> requested_after;
   std::vector<Endpoint> exchanged;
 };
 
--- a/tests/discovery/first_view_reader_test.cc
+++ b/tests/discovery/first_view_reader_test.cc
@@ -36,7 +36,7 @@
   Duration took{};
 };
 
-TEST_CASE("a silent seed is passed over for the other one", "[first_view_reader]") {
+TEST_CASE("if one seed is silent, the view is read from the other one", "[first_view_reader]") {
   ReaderHarness harness;
   harness.peers.reported_peers = {{kChild}};
   harness.peers.answersWith(kOtherSeed, {written("a", 3)}, 9, 10, true);
@@ -44,34 +44,34 @@
   REQUIRE(harness.view.has_value());
   CHECK(harness.view->at == 9);
   CHECK(harness.took <= harness.settings.answer_timeout + milliseconds(10));
-  // The balancers that it tells of are known from then on.
+  // The balancers that it reports are added to the directory.
   const auto known = harness.directory.recentPeers();
   CHECK(std::count(known.begin(), known.end(), kChild) == 1);
 }
 
-TEST_CASE("a seed whose link is busy refers to one that has the view", "[first_view_reader]") {
+TEST_CASE("a referral of a seed with a busy link is followed", "[first_view_reader]") {
   ReaderHarness harness;
   harness.peers.refuses(kSeed, SourceError::Throttled, {kChild});
   harness.peers.refuses(kOtherSeed, SourceError::Throttled, {kChild});
   harness.peers.answersWith(kChild, {written("a", 3)}, 9, 10, true);
   harness.read(milliseconds(20));
   REQUIRE(harness.view.has_value());
-  CHECK(harness.peers.asked.back() == kChild);
+  CHECK(harness.peers.requested.back() == kChild);
 }
 
-TEST_CASE("the store is read after a bounded time, later where balancers give a sign",
+TEST_CASE("the store is read after a limited time, later if balancers answer without a view",
           "[first_view_reader]") {
   ReaderHarness harness;
   Duration earliest{};
-  SECTION("all are silent") {
+  SECTION("all seeds are silent") {
     earliest = harness.settings.silence_timeout;
   }
-  SECTION("all are still without a view") {
+  SECTION("no seed has a view yet") {
     harness.peers.refuses(kSeed, SourceError::Unavailable);
     harness.peers.refuses(kOtherSeed, SourceError::Unavailable);
     earliest = harness.settings.refusal_timeout;
   }
-  SECTION("the only views are old") {
+  SECTION("all views are too old") {
     harness.peers.answersWith(kSeed, {}, 9, 60000, true);
     earliest = harness.settings.refusal_timeout;
   }
@@ -82,7 +82,7 @@
   CHECK(harness.took <= earliest + harness.settings.store_spread + seconds(1));
 }
 
-TEST_CASE("a seed that comes up later is found", "[first_view_reader]") {
+TEST_CASE("a seed that starts later is used", "[first_view_reader]") {
   ReaderHarness harness;
   harness.read(milliseconds(300));
   CHECK_FALSE(harness.is_done);
--- a/tests/discovery/fleet_start_test.cc
+++ b/tests/discovery/fleet_start_test.cc
@@ -1,4 +1,4 @@
-/** Whole fleets that start at once, on a simulated network and clock. */
+/** Complete fleets that start at once, on a simulated network and clock. */
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -16,64 +16,65 @@
 
 constexpr std::uint16_t kPeerPort = 9;
 constexpr std::uint16_t kControlPort = 1;
-constexpr Duration kOneWay = milliseconds(1);
+constexpr Duration kOneWayDelay = milliseconds(1);
 constexpr std::uint64_t kLinkBytesPerSecond = 2'500'000;
 constexpr std::uint64_t kFastLinkBytesPerSecond = 25'000'000;
 constexpr std::size_t kMessageBytes = 60;
-/** Bytes that a socket keeps until they are read; more are lost (Linux's default). */
+/** Size of a socket's receive buffer (the default of Linux); datagrams beyond it are dropped. */
 constexpr std::size_t kSocketBytes = 212'992;
 
-/** What a fleet is like: its size, its view, and how strong its machines are. */
+/** Size of a fleet, of its view, and capacity of its nodes. */
 struct FleetShape {
   std::uint32_t balancers = 0;
   std::size_t items = 600;
-  /** Of each item, those that do not compress. */
+  /** Incompressible bytes of each item. */
   std::size_t item_bytes = 20;
-  /** One balancer of so many has a link of 200 Mbit/s and half a core; 0 for none. */
-  std::uint32_t fast_one_of = 0;
-  /** Processor time for one datagram sent or received; 0 for machines that are never busy. */
-  Duration datagram_cost{};
-  /** All start within this time. */
+  /** Every n-th balancer has a link of 200 Mbit/s and half a core; 0 for none. */
+  std::uint32_t fast_interval = 0;
+  /** CPU time for one datagram sent or received; 0 for nodes with unlimited CPU. */
+  Duration datagram_cpu_time{};
+  /** All balancers start within this time. */
   Duration start_spread = milliseconds(450);
 
   bool isFast(std::uint32_t number) const {
-    return fast_one_of != 0 && number % fast_one_of == 2 % fast_one_of;
+    return fast_interval != 0 && number % fast_interval == 2 % fast_interval;
   }
   std::uint64_t linkBytesPerSecond(std::uint32_t number) const {
     return isFast(number) ? kFastLinkBytesPerSecond : kLinkBytesPerSecond;
   }
-  /** @return time for which a datagram keeps a balancer busy. */
+  /** @return time that a balancer needs to process a datagram. */
   Duration busyTime(std::uint32_t number) const {
-    constexpr double kFastShare = 0.5;
-    constexpr double kSlowShare = 0.12;
-    const double share = isFast(number) ? kFastShare : kSlowShare;
-    return Duration(static_cast<std::int64_t>(static_cast<double>(datagram_cost.count()) / share));
+    constexpr double kFastCpuFraction = 0.5;
+    constexpr double kSlowCpuFraction = 0.12;
+    const double cpu_fraction = isFast(number) ? kFastCpuFraction : kSlowCpuFraction;
+    return Duration(
+        static_cast<std::int64_t>(static_cast<double>(datagram_cpu_time.count()) / cpu_fraction));
   }
 };
 
-/** A fleet as the largest one is: small machines, one strong one of twenty, 400 KB of view. */
+/** The largest fleet: nodes with little CPU, 1 of 20 with high capacity, a view of 400 kB. */
 FleetShape largeFleet(std::uint32_t balancers) {
   return {balancers, 1000, 400, 20, Duration(12), milliseconds(110)};
 }
 
-/** What goes wrong while a fleet starts. */
+/** Faults while a fleet starts. */
 struct StartFaults {
-  /** Share of datagrams that are lost. */
+  /** Fraction of datagrams that are lost. */
   double loss = 0;
-  /** Balancers (by their number) that never start, and those that the store does not answer. */
+  /** Balancers, by number, that never start, and those that the store refuses. */
   std::set<std::uint32_t> dead;
-  std::set<std::uint32_t> refused;
-  /** The store is silent until then. */
+  std::set<std::uint32_t> refused_by_store;
+  /** The store does not answer until this time. */
   Duration store_silent_until{};
-  /** Balancers that die, and those that start at another time than the others. */
-  std::map<std::uint32_t, Duration> dies_at;
+  /** Times at which balancers fail, and start times that differ from those of the others. */
+  std::map<std::uint32_t, Duration> fails_at;
   std::map<std::uint32_t, Duration> starts_at;
 };
 
-/** The store: pages of 50 items, 6 ms an answer; a silent one answers nothing that was asked. */
+/** The store: 50 items per page, 6 ms per answer. While it is silent, calls time out. */
 struct SharedStore {
   std::vector<Item> items;
-  /** Written after the items; a watch tells those that are newer than its revision. */
+  /** Changes after the items; a watch returns those that are newer than its revision. */
   std::vector<ItemChange> changes;
   Duration silent_until{};
   int page_calls = 0;
@@ -83,7 +84,7 @@
 
 struct Balancer;
 
-/** All balancers, the links between them, and the clock. */
+/** All balancers, their links, and the clock. */
 struct StartingFleet {
   StartingFleet(FleetShape fleet_shape, std::vector<Endpoint> seed_list, StartFaults start_faults);
   StartingFleet(std::uint32_t count, std::vector<Endpoint> seed_list, StartFaults start_faults)
@@ -91,8 +92,8 @@
 
   void deliver(Endpoint from, Endpoint to, const ViewMessage& message);
   void run(Duration duration) { scheduler.advance(duration); }
-  /** Keeps a balancer busy with one datagram. @return when it is done with it. */
-  MonotonicTime useProcessor(std::uint32_t number);
+  /** Uses a balancer's CPU for one datagram. @return the time when that is done. */
+  MonotonicTime useCpu(std::uint32_t number);
   void receive(Endpoint from, Endpoint to, const ViewMessage& message, std::size_t bytes);
 
   const FleetShape shape;
@@ -105,13 +106,13 @@
   std::map<std::uint32_t, std::unique_ptr<Balancer>> balancers;
   std::map<std::uint32_t, MonotonicTime> link_free_at;
   std::map<std::uint32_t, MonotonicTime> inbound_free_at;
-  std::map<std::uint32_t, MonotonicTime> processor_free_at;
+  std::map<std::uint32_t, MonotonicTime> cpu_free_at;
   std::map<std::uint32_t, std::size_t> socket_bytes;
-  /** Requests for whole views that were received. */
-  std::uint64_t first_requests = 0;
-  std::uint64_t lost_at_sockets = 0;
-  /** The longest time for which a datagram has waited for its sender's link. */
-  Duration longest_link_wait{};
+  /** Number of received requests for full views. */
+  std::uint64_t full_view_requests = 0;
+  std::uint64_t dropped_at_sockets = 0;
+  /** Longest time for which a datagram was queued for its sender's link. */
+  Duration max_link_delay{};
 };
 
 /** One balancer's access to the store. */
@@ -121,17 +122,17 @@
 
   static constexpr std::size_t kPageItems = 50;
   static constexpr Duration kAnswerTime = milliseconds(6);
-  static constexpr Duration kTimeLimit = milliseconds(1500);
+  static constexpr Duration kTimeout = milliseconds(1500);
 
-  /** @return false where the call is left without an answer until its time limit. */
+  /** @return false if the call fails; the callback then gets the error. */
   template <typename Callback>
-  bool reaches(Callback callback) {
-    if (fleet.faults.refused.contains(number)) {
+  bool checkReachable(Callback callback) {
+    if (fleet.faults.refused_by_store.contains(number)) {
       fleet.scheduler.callAfter(kAnswerTime, [callback] { callback(SourceError::Unavailable); });
       return false;
     }
     if (fleet.time.elapsed < fleet.store.silent_until) {
-      fleet.scheduler.callAfter(kTimeLimit, [callback] { callback(SourceError::NoAnswer); });
+      fleet.scheduler.callAfter(kTimeout, [callback] { callback(SourceError::NoAnswer); });
       return false;
     }
     return true;
@@ -140,7 +141,7 @@
   void readPage(const PageRequest& request, PageCallback callback) override {
     ++fleet.store.page_calls;
     fleet.store.readers.insert(number);
-    if (!reaches(callback)) {
+    if (!checkReachable(callback)) {
       return;
     }
     ItemPage page;
@@ -160,7 +161,7 @@
 
   void watch(const WatchRequest& request, WatchCallback callback) override {
     ++fleet.store.watch_calls;
-    if (!reaches(callback)) {
+    if (!checkReachable(callback)) {
       return;
     }
     fleet.scheduler.callAfter(request.wait + kAnswerTime, [this, callback, after = request.after] {
@@ -179,21 +180,22 @@
   const std::uint32_t number;
 };
 
-/** Everything of a balancer that bears on its view. */
+/** The components of a balancer that affect its view. */
 struct Balancer : ViewFollowerHost, ViewOwner {
   Balancer(StartingFleet& its_fleet, std::uint32_t number)
       : fleet(its_fleet),
-        own{number, kControlPort},
+        local_address{number, kControlPort},
         random(makeSeededRandom(number)),
         link(linkClassOf(static_cast<double>(its_fleet.shape.linkBytesPerSecond(number)) * 8e-6)),
-        directory({}, {own, link}, its_fleet.seeds, its_fleet.time, *random),
+        directory({}, {local_address, link}, its_fleet.seeds, its_fleet.time, *random),
         store(its_fleet, number),
         hedged_store({}, store, its_fleet.scheduler),
-        client({}, {own, link}, kPeerPort, sender(), its_fleet.scheduler, its_fleet.time, *random),
+        client({}, {local_address, link}, kPeerPort, sender(), its_fleet.scheduler, its_fleet.time,
+               *random),
         provider(providerSettings(number), *this, directory, its_fleet.scheduler, its_fleet.time,
                  sender()),
-        selector({}, own, directory),
-        source({}, own, hedged_store, &client, directory, selector, its_fleet.scheduler,
+        selector({}, local_address, directory),
+        source({}, local_address, hedged_store, &client, directory, selector, its_fleet.scheduler,
                its_fleet.time),
         exchange({}, directory, client, its_fleet.scheduler, *random),
         follower("", {}, source, its_fleet.scheduler, its_fleet.time, *random, *this) {}
@@ -206,7 +208,7 @@
 
   ViewClient::Send sender() {
     return [this](Endpoint to, const ViewMessage& message) {
-      fleet.deliver({own.address, kPeerPort}, to, message);
+      fleet.deliver({local_address.address, kPeerPort}, to, message);
     };
   }
 
@@ -243,10 +245,10 @@
     exchange.start();
   }
 
-  Duration viewTook() const { return complete_at.value() - started_at; }
+  Duration timeToView() const { return complete_at.value() - started_at; }
 
   StartingFleet& fleet;
-  const Endpoint own;
+  const Endpoint local_address;
   std::unique_ptr<RandomGenerator> random;
   const LinkClass link;
   PeerDirectory directory;
@@ -269,11 +271,11 @@
                              StartFaults start_faults)
     : shape(fleet_shape), faults(std::move(start_faults)), seeds(std::move(seed_list)) {
   store.silent_until = faults.store_silent_until;
-  constexpr std::size_t kOtherBytes = 25;
+  constexpr std::size_t kCompressibleBytes = 25;
   for (std::uint32_t server = 0; server < shape.items; ++server) {
     std::array<char, 24> key{};
     std::snprintf(key.data(), key.size(), "server/%05u", server);
-    std::string value(shape.item_bytes + kOtherBytes, ' ');
+    std::string value(shape.item_bytes + kCompressibleBytes, ' ');
     for (std::size_t index = 0; index < shape.item_bytes; ++index) {
       value[index] = static_cast<char>(random->next());
     }
@@ -289,8 +291,8 @@
     const auto other = faults.starts_at.find(number);
     scheduler.callAfter(other == faults.starts_at.end() ? delay : other->second,
                         [this, number] { balancers[number]->start(); });
-    if (const auto death = faults.dies_at.find(number); death != faults.dies_at.end()) {
-      scheduler.callAfter(death->second, [this, number] { balancers[number]->is_dead = true; });
+    if (const auto failure = faults.fails_at.find(number); failure != faults.fails_at.end()) {
+      scheduler.callAfter(failure->second, [this, number] { balancers[number]->is_dead = true; });
     }
   }
 }
@@ -302,24 +304,24 @@
   const auto* part = std::get_if<ViewPart>(&message);
   const std::size_t bytes = kMessageBytes + (part != nullptr ? part->bytes.size() : 0);
   MonotonicTime& free_at = link_free_at[from.address];
-  const Duration sending(
+  const Duration send_time(
       static_cast<std::int64_t>(bytes * 1'000'000 / shape.linkBytesPerSecond(from.address)));
-  free_at = std::max(free_at, useProcessor(from.address)) + sending;
-  longest_link_wait = std::max(longest_link_wait, free_at - time.monotonicTime());
+  free_at = std::max(free_at, useCpu(from.address)) + send_time;
+  max_link_delay = std::max(max_link_delay, free_at - time.monotonicTime());
   if (random->unit() < faults.loss) {
     return;
   }
-  // The receiver's link is free for one datagram at a time as well.
+  // The receiver's link also carries one datagram at a time.
   MonotonicTime& inbound = inbound_free_at[to.address];
-  const Duration receiving(
+  const Duration receive_time(
       static_cast<std::int64_t>(bytes * 1'000'000 / shape.linkBytesPerSecond(to.address)));
-  inbound = std::max(inbound, free_at + kOneWay - receiving) + receiving;
+  inbound = std::max(inbound, free_at + kOneWayDelay - receive_time) + receive_time;
   scheduler.callAfter(inbound - time.monotonicTime(),
                       [this, from, to, message, bytes] { receive(from, to, message, bytes); });
 }
 
-MonotonicTime StartingFleet::useProcessor(std::uint32_t number) {
-  MonotonicTime& free_at = processor_free_at[number];
+MonotonicTime StartingFleet::useCpu(std::uint32_t number) {
+  MonotonicTime& free_at = cpu_free_at[number];
   free_at = std::max(free_at, time.monotonicTime()) + shape.busyTime(number);
   return free_at;
 }
@@ -330,22 +332,23 @@
   if (found == balancers.end() || !found->second->has_started || found->second->is_dead) {
     return;
   }
-  std::size_t& waiting = socket_bytes[to.address];
-  if (waiting + bytes > kSocketBytes) {
-    ++lost_at_sockets;
+  std::size_t& queued_bytes = socket_bytes[to.address];
+  if (queued_bytes + bytes > kSocketBytes) {
+    ++dropped_at_sockets;
     return;
   }
-  waiting += bytes;
-  const MonotonicTime done_at = useProcessor(to.address);
+  queued_bytes += bytes;
+  const MonotonicTime done_at = useCpu(to.address);
   const auto* request = std::get_if<ViewRequest>(&message);
-  first_requests += request != nullptr && request->after == 0 && request->body_hash == 0 ? 1 : 0;
+  full_view_requests +=
+      request != nullptr && request->after == 0 && request->body_hash == 0 ? 1 : 0;
   scheduler.callAfter(done_at - time.monotonicTime(), [this, from, to, message, bytes] {
     socket_bytes[to.address] -= bytes;
     balancers.at(to.address)->take(message, from);
   });
 }
 
-std::vector<Endpoint> seedList(std::initializer_list<std::uint32_t> numbers) {
+std::vector<Endpoint> seedAddresses(std::initializer_list<std::uint32_t> numbers) {
   std::vector<Endpoint> seeds;
   for (const std::uint32_t number : numbers) {
     seeds.push_back({number, kControlPort});
@@ -353,8 +356,7 @@
   return seeds;
 }
 
-/** @return how long balancers that started took for their views, sorted; fails where one has none.
- */
+/** @return sorted times that started balancers took to get their views; fails if one has none. */
 std::vector<Duration> viewTimes(const StartingFleet& fleet) {
   std::vector<Duration> times;
   for (const auto& [number, balancer] : fleet.balancers) {
@@ -364,55 +366,55 @@
     INFO("balancer " << number);
     REQUIRE(balancer->complete_at.has_value());
     CHECK(balancer->items == fleet.store.items.size());
-    times.push_back(balancer->viewTook());
+    times.push_back(balancer->timeToView());
   }
   std::sort(times.begin(), times.end());
   return times;
 }
 
-TEST_CASE("a fleet that starts at once reads the store through its seeds only", "[fleet_start]") {
+TEST_CASE("only the seeds read the store when a fleet starts at once", "[fleet_start]") {
   const std::uint32_t size = GENERATE(7U, 88U, 295U);
-  StartingFleet fleet(size, seedList({2, 4, 6}), {});
+  StartingFleet fleet(size, seedAddresses({2, 4, 6}), {});
   fleet.run(seconds(3));
   const auto times = viewTimes(fleet);
   CHECK(fleet.store.readers.size() <= 3);
   CHECK(times.back() < milliseconds(960));
-  // Once all know the fleet, its watchers call once a second.
+  // Once all balancers know the fleet, each watcher calls the store once per second.
   fleet.run(seconds(2));
   const int calls_before = fleet.store.watch_calls;
   fleet.run(seconds(10));
   CHECK(fleet.store.watch_calls - calls_before <= 6 * 11);
 }
 
-TEST_CASE("a large fleet of small machines has its views a second after it starts",
+TEST_CASE("all balancers of a large fleet with little CPU have a view within a second",
           "[fleet_start]") {
   const std::uint32_t size = GENERATE(1000U, 2000U);
-  StartingFleet fleet(largeFleet(size), seedList({2, 22, 42}), {});
+  StartingFleet fleet(largeFleet(size), seedAddresses({2, 22, 42}), {});
   fleet.run(seconds(12));
   const auto times = viewTimes(fleet);
   const auto at = [&](std::size_t percent) {
     return toMilliseconds(times[percent * (times.size() - 1) / 100]);
   };
-  INFO(size << " balancers: views after " << at(10) << ", " << at(50) << ", " << at(90) << ", last "
-            << at(100) << " ms; " << fleet.first_requests << " first requests, "
-            << fleet.lost_at_sockets << " datagrams lost at sockets, readers "
-            << fleet.store.readers.size());
+  INFO(size << " balancers: 10th, 50th, 90th percentile of times to a view " << at(10) << ", "
+            << at(50) << ", " << at(90) << ", last " << at(100) << " ms; "
+            << fleet.full_view_requests << " requests for full views, " << fleet.dropped_at_sockets
+            << " datagrams dropped at sockets, readers " << fleet.store.readers.size());
   CHECK(fleet.store.readers.size() <= 3);
   CHECK(times.back() < milliseconds(1000));
 }
 
-TEST_CASE("a large fleet starts whatever fails while its views spread", "[fleet_start]") {
+TEST_CASE("a large fleet starts despite faults while views are distributed", "[fleet_start]") {
   constexpr std::uint32_t kSize = 300;
   StartFaults faults;
-  std::size_t most_readers = 10;
-  SECTION("all strong balancers but the seeds are dead") {
+  std::size_t max_readers = 10;
+  SECTION("all high-capacity balancers except the seeds are dead") {
     for (std::uint32_t number = 62; number <= kSize; number += 20) {
       faults.dead.insert(number);
     }
   }
-  SECTION("strong balancers die in the middle of their copies") {
+  SECTION("high-capacity balancers fail while they send copies") {
     for (std::uint32_t number = 62; number <= kSize; number += 20) {
-      faults.dies_at[number] = milliseconds(450);
+      faults.fails_at[number] = milliseconds(450);
     }
   }
   SECTION("half of the fleet starts two seconds later") {
@@ -426,63 +428,64 @@
     }
   }
   bool is_alone = false;
-  SECTION("one balancer starts alone, later") {
+  SECTION("one balancer starts after all others") {
     is_alone = true;
     faults.starts_at[77] = seconds(4);
   }
   SECTION("datagrams are lost") {
     faults.loss = 0.03;
   }
-  StartingFleet fleet(largeFleet(kSize), seedList({2, 22, 42}), faults);
+  StartingFleet fleet(largeFleet(kSize), seedAddresses({2, 22, 42}), faults);
   fleet.run(seconds(8));
   const auto times = viewTimes(fleet);
   INFO("last " << times.back().count() << " us, readers " << fleet.store.readers.size());
   CHECK(times.back() < milliseconds(2000));
-  CHECK(fleet.store.readers.size() <= most_readers);
+  CHECK(fleet.store.readers.size() <= max_readers);
   if (is_alone) {
-    CHECK(fleet.balancers.at(77)->viewTook() < milliseconds(300));
+    CHECK(fleet.balancers.at(77)->timeToView() < milliseconds(300));
   }
 }
 
-TEST_CASE("a fleet starts under faults, and the store never sees it at once", "[fleet_start]") {
+TEST_CASE("a fleet starts despite faults, and a limited number of balancers reads the store",
+          "[fleet_start]") {
   constexpr std::uint32_t kSize = 295;
   StartFaults faults;
-  std::size_t most_readers = 3;
-  Duration longest = seconds(3);
+  std::size_t max_readers = 3;
+  Duration max_time = seconds(3);
   SECTION("datagrams are lost") {
     faults.loss = 0.03;
-    most_readers = 10;
+    max_readers = 10;
   }
   SECTION("one seed is dead") {
     faults.dead = {4};
   }
   SECTION("the store refuses two seeds") {
-    faults.refused = {2, 4};
+    faults.refused_by_store = {2, 4};
   }
   SECTION("all seeds are dead") {
-    // Each balancer by itself, spread over the time that its rank gives.
+    // Each balancer reads the store after a delay that depends on its rank.
     faults.dead = {2, 4, 6};
-    most_readers = kSize;
+    max_readers = kSize;
   }
   SECTION("the store refuses all seeds") {
-    faults.refused = {2, 4, 6};
-    most_readers = 60;
+    faults.refused_by_store = {2, 4, 6};
+    max_readers = 60;
   }
-  SECTION("the store is silent at first") {
+  SECTION("the store does not answer at first") {
     faults.store_silent_until = milliseconds(800);
-    most_readers = 60;
+    max_readers = 60;
   }
-  StartingFleet fleet(kSize, seedList({2, 4, 6}), faults);
+  StartingFleet fleet(kSize, seedAddresses({2, 4, 6}), faults);
   fleet.run(seconds(6));
   const auto times = viewTimes(fleet);
-  INFO("middle " << times[times.size() / 2].count() << " us, last " << times.back().count()
+  INFO("median " << times[times.size() / 2].count() << " us, last " << times.back().count()
                  << " us, readers " << fleet.store.readers.size() << ", watches "
                  << fleet.store.watch_calls);
-  CHECK(times.back() < longest);
-  CHECK(fleet.store.readers.size() <= most_readers);
+  CHECK(times.back() < max_time);
+  CHECK(fleet.store.readers.size() <= max_readers);
 }
 
-TEST_CASE("whatever fails, a balancer gets a view if any path to one exists", "[fleet_start]") {
+TEST_CASE("under random faults every balancer with a path to a view gets one", "[fleet_start]") {
   const auto random = makeSeededRandom(5);
   for (int round = 0; round < 40; ++round) {
     constexpr std::uint32_t kSize = 20;
@@ -491,26 +494,27 @@
     faults.store_silent_until = milliseconds(static_cast<std::int64_t>(random->below(2000)));
     const double dead = random->unit() * 0.5;
     const double refused = random->unit();
-    // One balancer that lives and reaches the store, though it may be nobody's seed.
+    // Balancer 1 always starts and reaches the store.
     for (std::uint32_t number = 2; number <= kSize; ++number) {
       if (random->unit() < dead) {
         faults.dead.insert(number);
       } else if (random->unit() < refused) {
-        faults.refused.insert(number);
+        faults.refused_by_store.insert(number);
       }
     }
-    StartingFleet fleet(kSize, seedList({1, 4, 6}), faults);
+    StartingFleet fleet(kSize, seedAddresses({1, 4, 6}), faults);
     fleet.run(seconds(12));
     INFO("round " << round << ", loss " << faults.loss);
     viewTimes(fleet);
   }
 }
 
-TEST_CASE("a large change reaches a fleet soon, and fills no link on its way", "[fleet_start]") {
-  StartingFleet fleet(98, seedList({2, 4, 6}), {});
+TEST_CASE("a large change reaches a fleet within seconds without saturating a link",
+          "[fleet_start]") {
+  StartingFleet fleet(98, seedAddresses({2, 4, 6}), {});
   fleet.run(seconds(6));
-  fleet.longest_link_wait = {};
-  // 26 ms of a link; three watchers have 32 followers each.
+  fleet.max_link_delay = {};
+  // The change occupies a link for 26 ms; three watchers have 32 followers each.
   std::string document(65'000, ' ');
   for (char& byte : document) {
     byte = static_cast<char>(fleet.random->next());
@@ -521,8 +525,8 @@
     INFO("balancer " << number);
     CHECK(balancer->follower.revision() == 1001);
   }
-  INFO("longest wait for a link " << fleet.longest_link_wait.count() << " us");
-  CHECK(fleet.longest_link_wait < milliseconds(100));
+  INFO("longest queueing time at a link " << fleet.max_link_delay.count() << " us");
+  CHECK(fleet.max_link_delay < milliseconds(100));
 }
 
 }  // namespace
--- a/tests/discovery/peer_directory_test.cc
+++ b/tests/discovery/peer_directory_test.cc
@@ -16,7 +16,7 @@
   PeerDirectory directory{{4, seconds(60)}, kOwn, {kOwn, kSeed}, time, *random};
 };
 
-TEST_CASE("seeds are asked until a peer is known", "[peer_directory]") {
+TEST_CASE("a seed is picked while no peer is known", "[peer_directory]") {
   DirectoryHarness harness;
   CHECK(harness.directory.pickRandom() == kSeed);
   harness.directory.onAnswer({3, 1});
@@ -25,15 +25,14 @@
   CHECK(harness.directory.pickRandom() == kSeed);
 }
 
-TEST_CASE("a node is no peer of its own", "[peer_directory]") {
+TEST_CASE("a balancer is not a peer of itself", "[peer_directory]") {
   DirectoryHarness harness;
   harness.directory.onAnswer(kOwn);
   harness.directory.onPeersReported({kOwn, Endpoint()});
   CHECK(harness.directory.recentPeers().empty());
 }
 
-TEST_CASE("peers that are not heard of are forgotten, also where others tell them",
-          "[peer_directory]") {
+TEST_CASE("peers without contact expire even if other peers report them", "[peer_directory]") {
   DirectoryHarness harness;
   harness.directory.onPeersReported({Endpoint{3, 1}});
   harness.time.elapsed += seconds(40);
@@ -42,7 +41,7 @@
   CHECK(harness.directory.recentPeers().empty());
 }
 
-TEST_CASE("a directory has a limit", "[peer_directory]") {
+TEST_CASE("the number of stored peers is limited", "[peer_directory]") {
   DirectoryHarness harness;
   for (std::uint32_t address = 10; address < 50; ++address) {
     harness.directory.onAnswer({address, 1});
@@ -50,7 +49,7 @@
   CHECK(harness.directory.recentPeers().size() == 4);
 }
 
-TEST_CASE("without seeds and peers there is nobody to ask", "[peer_directory]") {
+TEST_CASE("without seeds and peers no peer is picked", "[peer_directory]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   PeerDirectory directory({}, kOwn, {}, time, *random);
--- a/tests/discovery/peer_exchange_test.cc
+++ b/tests/discovery/peer_exchange_test.cc
@@ -22,7 +22,7 @@
   PeerExchange exchange{settings, directory, peers, scheduler, *random};
 };
 
-TEST_CASE("a seed is asked soon after the start, and tells of others", "[peer_exchange]") {
+TEST_CASE("the first exchange is with a seed, whose peers are added", "[peer_exchange]") {
   ExchangeHarness harness;
   harness.peers.reported_peers = {{kOther}};
   harness.peers.answersWith(kSeed, {}, 1);
@@ -32,7 +32,7 @@
   CHECK(harness.directory.recentPeers() == std::vector<Endpoint>{kSeed, kOther});
 }
 
-TEST_CASE("a seed that does not answer is asked again", "[peer_exchange]") {
+TEST_CASE("a seed that does not answer gets another request", "[peer_exchange]") {
   ExchangeHarness harness;
   harness.exchange.start();
   harness.scheduler.advance(harness.settings.first_delay + harness.settings.second_delay);
--- a/tests/discovery/ranked_peers_test.cc
+++ b/tests/discovery/ranked_peers_test.cc
@@ -20,47 +20,47 @@
   return {addressOfBalancer(number), linkClassOf(number % 50 == 0 ? 200 : 10)};
 }
 
-/** Both directories, on the same clock and with the same news. */
+/** Both directories, with the same clock and the same updates. */
 struct DirectoryPair {
   explicit DirectoryPair(PeerDirectorySettings settings)
       : directory(settings, self, seeds, time, *random), reference(settings, self, seeds, time) {}
 
-  std::uint32_t any() { return static_cast<std::uint32_t>(random->below(kBalancers)); }
+  std::uint32_t randomNumber() { return static_cast<std::uint32_t>(random->below(kBalancers)); }
 
   template <typename Call>
-  void tellBoth(Call call) {
+  void applyToBoth(Call call) {
     call(directory);
     call(reference);
   }
 
-  void anyNews() {
+  void applyRandomUpdate() {
     time.elapsed += Duration(1 + static_cast<std::int64_t>(random->below(200'000)));
-    const PeerInfo peer{addressOfBalancer(any()), linkClassOf(1 << random->below(4))};
-    std::vector<PeerInfo> told;
+    const PeerInfo peer{addressOfBalancer(randomNumber()), linkClassOf(1 << random->below(4))};
+    std::vector<PeerInfo> reported;
     switch (random->below(8)) {
       case 0:
-        tellBoth([&](auto& both) { both.onAnswer(peer.address); });
+        applyToBoth([&](auto& either) { either.onAnswer(peer.address); });
         break;
       case 1:
-        tellBoth([&](auto& both) { both.onFailed(peer.address); });
+        applyToBoth([&](auto& either) { either.onFailed(peer.address); });
         break;
       case 2:
-        tellBoth([&](auto& both) { both.onUnavailable(peer.address); });
+        applyToBoth([&](auto& either) { either.onUnavailable(peer.address); });
         break;
       case 3:
-        tellBoth([&](auto& both) { both.onViewReported(peer.address); });
+        applyToBoth([&](auto& either) { either.onViewReported(peer.address); });
         break;
       case 4:
         for (int count = 0; count < 20; ++count) {
-          told.push_back(balancer(any()));
+          reported.push_back(balancer(randomNumber()));
         }
-        tellBoth([&](auto& both) { both.onPeersReported(told); });
+        applyToBoth([&](auto& either) { either.onPeersReported(reported); });
         break;
       case 5:
         time.elapsed += Duration(static_cast<std::int64_t>(random->below(20'000'000)));
         break;
       default:
-        tellBoth([&](auto& both) { both.onContact(peer); });
+        applyToBoth([&](auto& either) { either.onContact(peer); });
     }
   }
 
@@ -77,8 +77,8 @@
     std::vector<Endpoint> best = reference.ranked();
     best.resize(std::min<std::size_t>(best.size(), 5));
     REQUIRE(directory.ranked(5) == best);
-    const Endpoint left = addressOfBalancer(any());
-    const Endpoint right = addressOfBalancer(any());
+    const Endpoint left = addressOfBalancer(randomNumber());
+    const Endpoint right = addressOfBalancer(randomNumber());
     REQUIRE(directory.isBetterUpstream(left, right) == reference.isBetterUpstream(left, right));
   }
 
@@ -91,14 +91,13 @@
   ReferencePeerDirectory reference;
 };
 
-TEST_CASE("the orders that are kept give the same answers as sorting for each question",
-          "[peer_directory]") {
+TEST_CASE("the indexes give the same answers as sorting on each query", "[peer_directory]") {
   PeerDirectorySettings settings;
   settings.max_peers = GENERATE(3, 20, 100, 1000);
   settings.max_fast_peers = GENERATE(0, 1, 16);
   DirectoryPair pair(settings);
   for (int step = 0; step < 400; ++step) {
-    pair.anyNews();
+    pair.applyRandomUpdate();
     pair.checkAnswers();
   }
 }
@@ -109,7 +108,7 @@
       directory.onContact(balancer(number));
     }
   }
-  /** @return the peers that were looked at one by one in a call. */
+  /** @return the number of peers that a call examines one by one. */
   template <typename Call>
   std::uint64_t visitedIn(Call call) {
     const std::uint64_t before = directory.peersVisited();
@@ -122,26 +121,26 @@
   PeerDirectory directory{{}, balancer(kBalancers + 1), {addressOfBalancer(1)}, time, *random};
 };
 
-TEST_CASE("what a question costs does not grow with the balancers that are known",
+TEST_CASE("the cost of a query does not grow with the number of known balancers",
           "[peer_directory]") {
   LargeFleet fleet;
   const PeerDirectorySettings settings;
   UpstreamSelector selector({}, addressOfBalancer(kBalancers + 1), fleet.directory);
-  const std::uint64_t walk = 4 * settings.max_fast_peers;
-  CHECK(fleet.visitedIn([&] { CHECK(selector.upstreams().size() < 8); }) < walk);
-  CHECK(fleet.visitedIn([&] { fleet.directory.fleetSize(); }) < walk);
-  CHECK(fleet.visitedIn([&] { fleet.directory.onContact(balancer(17)); }) < walk);
-  CHECK(fleet.visitedIn([&] { fleet.directory.ranked(1); }) < walk);
+  const std::uint64_t max_visited = 4 * settings.max_fast_peers;
+  CHECK(fleet.visitedIn([&] { CHECK(selector.upstreams().size() < 8); }) < max_visited);
+  CHECK(fleet.visitedIn([&] { fleet.directory.fleetSize(); }) < max_visited);
+  CHECK(fleet.visitedIn([&] { fleet.directory.onContact(balancer(17)); }) < max_visited);
+  CHECK(fleet.visitedIn([&] { fleet.directory.ranked(1); }) < max_visited);
 }
 
-TEST_CASE("a list of a hundred peers costs a walk for each at most", "[peer_directory]") {
+TEST_CASE("a list of 100 peers costs at most one walk of the index per peer", "[peer_directory]") {
   LargeFleet fleet;
-  std::vector<PeerInfo> told;
+  std::vector<PeerInfo> reported;
   for (std::uint32_t number = 1; number <= 100; ++number) {
-    told.push_back(balancer(2 * number));
+    reported.push_back(balancer(2 * number));
   }
-  const std::uint64_t visited = fleet.visitedIn([&] { fleet.directory.onPeersReported(told); });
-  CHECK(visited < told.size() * 4 * PeerDirectorySettings().max_fast_peers);
+  const std::uint64_t visited = fleet.visitedIn([&] { fleet.directory.onPeersReported(reported); });
+  CHECK(visited < reported.size() * 4 * PeerDirectorySettings().max_fast_peers);
 }
 
 }  // namespace
--- a/tests/discovery/reference_peer_directory.h
+++ b/tests/discovery/reference_peer_directory.h
@@ -11,7 +11,7 @@
 #include "common/time_source.h"
 #include "discovery/peer_directory.h"
 
-/** What a PeerDirectory answers, found by sorting all that is known for each question. */
+/** Reference implementation of PeerDirectory, which sorts all peers on each query. */
 namespace lugfork {
 
 class ReferencePeerDirectory {
@@ -34,9 +34,9 @@
 
   void onPeersReported(const std::vector<PeerInfo>& peers) {
     for (const PeerInfo& peer : peers) {
-      const auto known = heard_.find(peer.address);
-      if (known != heard_.end()) {
-        // What others tell never refreshes what is known: a dead peer would be told for ever.
+      const auto known = peers_.find(peer.address);
+      if (known != peers_.end()) {
+        // Reports never refresh a known peer; otherwise a dead peer would be reported forever.
         known->second.link = std::max(known->second.link, peer.link);
       } else if (!isQuarantined(peer.address)) {
         add(peer);
@@ -45,7 +45,7 @@
   }
 
   void onFailed(Endpoint peer) {
-    heard_.erase(peer);
+    peers_.erase(peer);
     quarantined_until_[peer] = time_source_.monotonicTime() + settings_.quarantine;
   }
 
@@ -53,18 +53,18 @@
     unavailable_until_[peer] = time_source_.monotonicTime() + settings_.unavailable_quarantine;
   }
 
-  void onViewReported(Endpoint peer) { view_shown_at_[peer] = time_source_.monotonicTime(); }
+  void onViewReported(Endpoint peer) { view_reported_at_[peer] = time_source_.monotonicTime(); }
 
   std::vector<Endpoint> peersWithView(std::size_t limit) {
     removeExpired();
     std::vector<Endpoint> peers;
-    for (const auto& [peer, shown_at] : view_shown_at_) {
+    for (const auto& [peer, reported_at] : view_reported_at_) {
       if (!isQuarantined(peer) && !isUnavailable(peer)) {
         peers.push_back(peer);
       }
     }
     std::sort(peers.begin(), peers.end(), [this](Endpoint left, Endpoint right) {
-      return view_shown_at_[left] > view_shown_at_[right];
+      return view_reported_at_[left] > view_reported_at_[right];
     });
     peers.resize(std::min(peers.size(), limit));
     return peers;
@@ -73,7 +73,7 @@
   std::vector<Endpoint> recentPeers() {
     removeExpired();
     std::vector<Endpoint> peers;
-    for (const auto& [peer, heard] : heard_) {
+    for (const auto& [peer, entry] : peers_) {
       peers.push_back(peer);
     }
     return peers;
@@ -83,22 +83,22 @@
     std::vector<Endpoint> peers = recentPeers();
     std::sort(peers.begin(), peers.end(),
               [this](Endpoint left, Endpoint right) { return isBetterUpstream(left, right); });
-    std::vector<PeerInfo> told;
+    std::vector<PeerInfo> reported;
     if (self_.address.isSet()) {
-      told.push_back(self_);
+      reported.push_back(self_);
     }
     for (const Endpoint& peer : peers) {
-      if (told.size() < limit) {
-        told.push_back({peer, linkOf(peer)});
+      if (reported.size() < limit) {
+        reported.push_back({peer, linkOf(peer)});
       }
     }
-    return told;
+    return reported;
   }
 
   std::vector<Endpoint> ranked() {
     std::vector<Endpoint> peers = recentPeers();
     for (const Endpoint& seed : seeds_) {
-      if (!heard_.contains(seed)) {
+      if (!peers_.contains(seed)) {
         peers.push_back(seed);
       }
     }
@@ -124,22 +124,22 @@
     if (peers.size() >= settings_.max_peers && !isKeptByOthers()) {
       return false;
     }
-    const std::uint64_t own_weight = weight(self_.address);
+    const std::uint64_t local_weight = weight(self_.address);
     std::size_t before_self = 0;
     for (const Endpoint& peer : peers) {
-      before_self += weight(peer) < own_weight ? 1 : 0;
+      before_self += weight(peer) < local_weight ? 1 : 0;
     }
     return before_self < owners;
   }
 
   double fleetSize() {
     removeExpired();
-    if (heard_.size() < settings_.max_peers) {
-      return static_cast<double>(heard_.size()) + 1;
+    if (peers_.size() < settings_.max_peers) {
+      return static_cast<double>(peers_.size()) + 1;
     }
-    // All peers up to the highest rank that was kept for its rank are known.
+    // The directory contains all peers up to the highest rank that was kept for its rank.
     const PeerRank highest = highestKeptRank();
-    const auto known = std::count_if(heard_.begin(), heard_.end(), [&](const auto& entry) {
+    const auto known = std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
       return peerRank(entry.first) <= highest;
     });
     constexpr auto kAllRanks = static_cast<double>(std::numeric_limits<PeerRank>::max());
@@ -147,7 +147,7 @@
   }
 
  private:
-  struct Heard {
+  struct Entry {
     MonotonicTime at;
     LinkClass link = 0;
   };
@@ -160,8 +160,8 @@
     if (peer == self_.address) {
       return self_.link;
     }
-    const auto found = heard_.find(peer);
-    return found == heard_.end() ? LinkClass{0} : found->second.link;
+    const auto found = peers_.find(peer);
+    return found == peers_.end() ? LinkClass{0} : found->second.link;
   }
 
   bool isKeptByOthers() const {
@@ -174,7 +174,7 @@
   PeerRank highestKeptRank() const {
     const std::vector<Endpoint> kept_for_link = fastest();
     PeerRank highest = 1;
-    for (const auto& [peer, heard] : heard_) {
+    for (const auto& [peer, entry] : peers_) {
       const bool is_fast =
           std::find(kept_for_link.begin(), kept_for_link.end(), peer) != kept_for_link.end();
       highest = is_fast ? highest : std::max(highest, peerRank(peer));
@@ -196,9 +196,9 @@
     const MonotonicTime now = time_source_.monotonicTime();
     std::erase_if(quarantined_until_, [&](const auto& entry) { return now > entry.second; });
     std::erase_if(unavailable_until_, [&](const auto& entry) { return now > entry.second; });
-    std::erase_if(heard_,
+    std::erase_if(peers_,
                   [&](const auto& entry) { return now - entry.second.at > settings_.peer_ttl; });
-    std::erase_if(view_shown_at_,
+    std::erase_if(view_reported_at_,
                   [&](const auto& entry) { return now - entry.second > settings_.view_ttl; });
   }
 
@@ -207,29 +207,29 @@
       return;
     }
     removeExpired();
-    heard_[peer.address] = {time_source_.monotonicTime(), peer.link};
-    if (heard_.size() > settings_.max_peers) {
+    peers_[peer.address] = {time_source_.monotonicTime(), peer.link};
+    if (peers_.size() > settings_.max_peers) {
       evictHighestRank();
     }
   }
 
   void evictHighestRank() {
     const std::vector<Endpoint> kept_for_link = fastest();
-    auto highest = heard_.end();
-    for (auto entry = heard_.begin(); entry != heard_.end(); ++entry) {
+    auto highest = peers_.end();
+    for (auto entry = peers_.begin(); entry != peers_.end(); ++entry) {
       const bool is_fast = std::find(kept_for_link.begin(), kept_for_link.end(), entry->first) !=
                            kept_for_link.end();
-      const bool is_higher = highest == heard_.end() || hasLowerRank(highest->first, entry->first);
+      const bool is_higher = highest == peers_.end() || hasLowerRank(highest->first, entry->first);
       highest = !is_fast && is_higher ? entry : highest;
     }
-    if (highest != heard_.end()) {
-      heard_.erase(highest);
+    if (highest != peers_.end()) {
+      peers_.erase(highest);
     }
   }
 
   std::vector<Endpoint> fastest() const {
     std::vector<Endpoint> peers;
-    for (const auto& [peer, heard] : heard_) {
+    for (const auto& [peer, entry] : peers_) {
       peers.push_back(peer);
     }
     const std::size_t count =
@@ -246,10 +246,10 @@
   const PeerInfo self_;
   std::vector<Endpoint> seeds_;
   const TimeSource& time_source_;
-  std::map<Endpoint, Heard> heard_;
+  std::map<Endpoint, Entry> peers_;
   std::map<Endpoint, MonotonicTime> quarantined_until_;
   std::map<Endpoint, MonotonicTime> unavailable_until_;
-  std::map<Endpoint, MonotonicTime> view_shown_at_;
+  std::map<Endpoint, MonotonicTime> view_reported_at_;
 };
 
 }  // namespace lugfork
--- a/tests/discovery/upstream_poller_test.cc
+++ b/tests/discovery/upstream_poller_test.cc
@@ -42,7 +42,7 @@
   CHECK(harness.result->upstream == balancer(2));
   CHECK(harness.result->view->at == 8);
   harness.poll();
-  CHECK(harness.peers.asked == std::vector<Endpoint>{balancer(1), balancer(2), balancer(2)});
+  CHECK(harness.peers.requested == std::vector<Endpoint>{balancer(1), balancer(2), balancer(2)});
 }
 
 TEST_CASE("whom a busy balancer names is asked next, and the busy one stays an upstream",
@@ -54,7 +54,7 @@
   harness.peers.answersWith(balancer(8), {written("a", 8)}, 8);
   harness.poll();
   CHECK(harness.result->upstream == balancer(8));
-  CHECK(harness.peers.asked == std::vector<Endpoint>{balancer(1), balancer(7), balancer(8)});
+  CHECK(harness.peers.requested == std::vector<Endpoint>{balancer(1), balancer(7), balancer(8)});
   const auto upstreams = harness.directory.ranked();
   CHECK(std::find(upstreams.begin(), upstreams.end(), balancer(1)) != upstreams.end());
 }
@@ -67,7 +67,7 @@
   harness.peers.answersWith(balancer(2), {}, 8);
   harness.poll();
   CHECK(harness.result->upstream == balancer(2));
-  CHECK(harness.peers.asked.size() == 2 + harness.settings.max_referrals);
+  CHECK(harness.peers.requested.size() == 2 + harness.settings.max_referrals);
 }
 
 TEST_CASE("of old views the newest counts, and the next poll begins with the others",
@@ -79,7 +79,7 @@
   harness.poll();
   CHECK_FALSE(harness.result->is_fresh);
   CHECK(harness.result->upstream == balancer(2));
-  CHECK(harness.peers.asked.size() == harness.settings.max_asked);
+  CHECK(harness.peers.requested.size() == harness.settings.max_asked);
   harness.peers.answersWith(balancer(4), {}, 9, 10);
   harness.poll();
   CHECK(harness.result->upstream == balancer(4));
--- a/tests/discovery/upstream_source_test.cc
+++ b/tests/discovery/upstream_source_test.cc
@@ -104,7 +104,7 @@
     SourceHarness harness({kOwn, kSecond});
     harness.read();
     CHECK(harness.store.hasPage(kPrefix));
-    CHECK(harness.peers.asked.empty());
+    CHECK(harness.peers.requested.empty());
   }
   SECTION("no seeds") {
     SourceHarness harness;
@@ -159,15 +159,15 @@
   SourceHarness harness;
   harness.peers.answersWith(kFirst, {}, 5);
   harness.catchUp();
-  CHECK(harness.peers.asked.empty());
+  CHECK(harness.peers.requested.empty());
   const std::size_t store_calls = harness.store.watch_requests.size();
   harness.poll();
   REQUIRE(harness.answer.has_value());
   CHECK(harness.answer->value().changes.empty());
   CHECK(harness.answer->value().age_ms == 100);
   CHECK(harness.store.watch_requests.size() == store_calls);
-  CHECK(harness.peers.asked == std::vector<Endpoint>{kFirst});
-  CHECK(harness.peers.asked_after == std::vector<Revision>{5});
+  CHECK(harness.peers.requested == std::vector<Endpoint>{kFirst});
+  CHECK(harness.peers.requested_after == std::vector<Revision>{5});
 }
 
 TEST_CASE("with one upstream, the store is asked at once where it is no help",
@@ -384,7 +384,7 @@
   harness.watch();
   harness.store.answerWatch(kPrefix, SourceError::HistoryGone);
   CHECK(harness.answer->error() == SourceError::HistoryGone);
-  CHECK(harness.peers.asked.empty());
+  CHECK(harness.peers.requested.empty());
 }
 
 TEST_CASE("without a balancer that answers the store's error stands", "[upstream_source]") {
