--- a/src/discovery/evidence_collector.cc
+++ b/src/discovery/evidence_collector.cc
@@ -9,11 +9,9 @@
 
 namespace {
 
-/** IP and UDP headers, the tag, the type, and the fields other than backends and the zone's name.
- */
+/** IP and UDP headers, tag, type, and the fields other than the backends and the zone's name. */
 constexpr std::size_t kHeaderBytes = 28 + 16 + 18;
-/** Smallest budget for a digest: about eight backends, which take as many bytes as the
- * headers. */
+/** Smallest budget for a digest: about eight backends, which are as large as the headers. */
 constexpr double kMinDigestBytes = 130;
 /** Time for which the maximum of retransmissions before an answer is reported in digests. */
 constexpr Duration kRetransmissionsTtl = seconds(60);
--- a/src/discovery/first_view_reader.h
+++ b/src/discovery/first_view_reader.h
@@ -23,8 +23,8 @@
   Duration max_age = milliseconds(1800);
   /**
    * Time after which the store is read instead: if no balancer answers, and if some answer without
-   * a usable view. A fleet that starts at once is up within 0.5 s, so that its slowest balancer can
-   * still answer.
+   * a usable view. Long enough for the slowest balancer of a fleet that starts at once, which is up
+   * within 0.5 s, to answer.
    */
   Duration silence_timeout = milliseconds(400);
   Duration refusal_timeout = milliseconds(1000);
--- a/src/discovery/peer_exchange.h
+++ b/src/discovery/peer_exchange.h
@@ -18,8 +18,7 @@
   Duration second_delay = seconds(2);
 };
 
-/** Keeps a PeerDirectory filled by periodic exchanges with a random peer, or a seed if none is
- * known. */
+/** Fills a PeerDirectory by periodic exchanges with a random peer, or a seed if none is known. */
 class PeerExchange {
  public:
   PeerExchange(PeerExchangeSettings settings, PeerDirectory& directory, PeerClient& client,
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -176,7 +176,7 @@
   }
 }
 
-TEST_CASE("when the collector stops, the next in rank collects reports within a second",
+TEST_CASE("when the collector stops, the next in rank collects reports after the answer timeout",
           "[evidence_exchange]") {
   SmallFleet fleet;
   const auto stopped = static_cast<std::size_t>(GENERATE(0, 1));
--- a/tests/discovery/probe_schedule_test.cc
+++ b/tests/discovery/probe_schedule_test.cc
@@ -24,7 +24,7 @@
   ProbeSchedule schedule{settings, own, directory, time};
 };
 
-TEST_CASE("in a small fleet a probe is due at once while no upstream is fresh",
+TEST_CASE("in a small fleet a probe is due at once, and only while no upstream is fresh",
           "[probe_schedule]") {
   ScheduleHarness harness;
   CHECK_FALSE(harness.schedule.isProbeDue());
