--- a/tests/discovery/evidence_collector_test.cc
+++ b/tests/discovery/evidence_collector_test.cc
@@ -13,17 +13,17 @@
 const Endpoint kThird{3, 1};
 
 /** A report of a balancer that uses ten backends of its zone, one of which is silent. */
-EvidenceReport reportOf(const std::vector<std::uint32_t>& servers,
+EvidenceReport reportOf(const std::vector<std::uint32_t>& backends,
                         std::uint16_t attempt_age_ms = 50) {
   EvidenceReport report{"lac", 10, 1, 0, {}, {}};
-  for (const std::uint32_t server : servers) {
-    report.silent.push_back({BackendId(server), 1, 0, attempt_age_ms, kNeverMilliseconds});
+  for (const std::uint32_t backend : backends) {
+    report.silent.push_back({BackendId(backend), 1, 0, attempt_age_ms, kNeverMilliseconds});
   }
   return report;
 }
 
-EvidenceReport lifeReport(std::uint32_t server, std::uint16_t age_ms) {
-  return {"lac", 10, 0, 0, {}, {{BackendId(server), age_ms}}};
+EvidenceReport lifeReport(std::uint32_t backend, std::uint16_t age_ms) {
+  return {"lac", 10, 0, 0, {}, {{BackendId(backend), age_ms}}};
 }
 
 struct Harness {
@@ -138,11 +138,11 @@
   Harness harness;
   std::set<BackendId> named;
   for (std::uint32_t reporter = 0; reporter < 4; ++reporter) {
-    std::vector<std::uint32_t> servers;
-    for (std::uint32_t server = 1; server <= kMaxServersInEvidence; ++server) {
-      servers.push_back(100 * reporter + server);
+    std::vector<std::uint32_t> backends;
+    for (std::uint32_t backend = 1; backend <= kMaxServersInEvidence; ++backend) {
+      backends.push_back(100 * reporter + backend);
     }
-    harness.collector.onReport(reportOf(servers), {10 + reporter, 1});
+    harness.collector.onReport(reportOf(backends), {10 + reporter, 1});
   }
   for (int round = 0; round < 15; ++round) {
     if (const auto digest = harness.digestFor({10, 1})) {
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -245,11 +245,11 @@
   constexpr std::size_t kSeconds = 10;
   for (std::size_t step = 0; step < kSeconds * 10; ++step) {
     for (const auto& node : fleet.nodes) {
-      const auto server = static_cast<std::uint32_t>(1 + random->below(30));
-      if (server % 3 == 0) {
-        node->evidence.isAnswered(server);
+      const auto backend = static_cast<std::uint32_t>(1 + random->below(30));
+      if (backend % 3 == 0) {
+        node->evidence.isAnswered(backend);
       } else {
-        node->evidence.loses(server, static_cast<std::uint16_t>(random->below(1000)));
+        node->evidence.loses(backend, static_cast<std::uint16_t>(random->below(1000)));
       }
     }
     fleet.scheduler.advance(milliseconds(100));
--- a/tests/discovery/first_view_reader_test.cc
+++ b/tests/discovery/first_view_reader_test.cc
@@ -19,7 +19,7 @@
     reader.read({}, [this, started_at](std::optional<PeerView> found) {
       is_done = true;
       view = std::move(found);
-      took = time.monotonicTime() - started_at;
+      duration = time.monotonicTime() - started_at;
     });
     scheduler.advance(time_given);
   }
@@ -33,7 +33,7 @@
   FirstViewReader reader{settings, kOwn, directory, peers, scheduler, time};
   bool is_done = false;
   std::optional<PeerView> view;
-  Duration took{};
+  Duration duration{};
 };
 
 TEST_CASE("if one seed is silent, the view is read from the other one", "[first_view_reader]") {
@@ -43,7 +43,7 @@
   harness.read(seconds(1));
   REQUIRE(harness.view.has_value());
   CHECK(harness.view->at == 9);
-  CHECK(harness.took <= harness.settings.answer_timeout + milliseconds(10));
+  CHECK(harness.duration <= harness.settings.answer_timeout + milliseconds(10));
   // The balancers that it reports are added to the directory.
   const auto known = harness.directory.recentPeers();
   CHECK(std::count(known.begin(), known.end(), kChild) == 1);
@@ -78,8 +78,8 @@
   harness.read(seconds(4));
   CHECK(harness.is_done);
   CHECK_FALSE(harness.view.has_value());
-  CHECK(harness.took >= earliest);
-  CHECK(harness.took <= earliest + harness.settings.store_spread + seconds(1));
+  CHECK(harness.duration >= earliest);
+  CHECK(harness.duration <= earliest + harness.settings.store_spread + seconds(1));
 }
 
 TEST_CASE("a seed that starts later is used", "[first_view_reader]") {
--- a/tests/discovery/fleet_start_test.cc
+++ b/tests/discovery/fleet_start_test.cc
@@ -222,7 +222,7 @@
     return {follower.view().position(), toWireMilliseconds(follower.age()), follower.isCaughtUp()};
   }
 
-  void take(const ViewMessage& message, Endpoint from) {
+  void handle(const ViewMessage& message, Endpoint from) {
     if (const auto* part = std::get_if<ViewPart>(&message)) {
       client.onPart(*part, from);
     } else if (const auto* refusal = std::get_if<ViewRefusal>(&message)) {
@@ -272,14 +272,14 @@
     : shape(fleet_shape), faults(std::move(start_faults)), seeds(std::move(seed_list)) {
   store.silent_until = faults.store_silent_until;
   constexpr std::size_t kCompressibleBytes = 25;
-  for (std::uint32_t server = 0; server < shape.items; ++server) {
+  for (std::uint32_t item_number = 0; item_number < shape.items; ++item_number) {
     std::array<char, 24> key{};
-    std::snprintf(key.data(), key.size(), "server/%05u", server);
+    std::snprintf(key.data(), key.size(), "server/%05u", item_number);
     std::string value(shape.item_bytes + kCompressibleBytes, ' ');
     for (std::size_t index = 0; index < shape.item_bytes; ++index) {
       value[index] = static_cast<char>(random->next());
     }
-    store.items.push_back({key.data(), value, 1 + server, 1 + server});
+    store.items.push_back({key.data(), value, 1 + item_number, 1 + item_number});
   }
   for (std::uint32_t number = 1; number <= shape.balancers; ++number) {
     balancers[number] = std::make_unique<Balancer>(*this, number);
@@ -344,7 +344,7 @@
       request != nullptr && request->after == 0 && request->body_hash == 0 ? 1 : 0;
   scheduler.callAfter(done_at - time.monotonicTime(), [this, from, to, message, bytes] {
     socket_bytes[to.address] -= bytes;
-    balancers.at(to.address)->take(message, from);
+    balancers.at(to.address)->handle(message, from);
   });
 }
 
@@ -427,9 +427,9 @@
       faults.starts_at[seed] = milliseconds(300);
     }
   }
-  bool is_alone = false;
+  bool has_late_starter = false;
   SECTION("one balancer starts after all others") {
-    is_alone = true;
+    has_late_starter = true;
     faults.starts_at[77] = seconds(4);
   }
   SECTION("datagrams are lost") {
@@ -441,7 +441,7 @@
   INFO("last " << times.back().count() << " us, readers " << fleet.store.readers.size());
   CHECK(times.back() < milliseconds(2000));
   CHECK(fleet.store.readers.size() <= max_readers);
-  if (is_alone) {
+  if (has_late_starter) {
     CHECK(fleet.balancers.at(77)->timeToView() < milliseconds(300));
   }
 }
--- a/tests/discovery/hedged_reads_test.cc
+++ b/tests/discovery/hedged_reads_test.cc
@@ -22,7 +22,7 @@
 struct HedgeHarness {
   HedgeHarness() {
     reads.readPage({"", "", ReadConsistency::Latest}, [this](Result<ItemPage, SourceError> result) {
-      ++answers;
+      ++answer_count;
       answer = std::move(result);
     });
   }
@@ -33,7 +33,7 @@
   HedgedReadSettings settings;
   HedgedReads reads{settings, source, scheduler};
   std::optional<Result<ItemPage, SourceError>> answer;
-  int answers = 0;
+  int answer_count = 0;
 };
 
 TEST_CASE("a read that is answered within the hedge delay is sent once", "[hedged_reads]") {
@@ -42,7 +42,7 @@
   harness.source.pages[0](ItemPage{{}, false, 7});
   harness.scheduler.advance(seconds(5));
   CHECK(harness.source.pages.size() == 1);
-  CHECK(harness.answers == 1);
+  CHECK(harness.answer_count == 1);
   CHECK(harness.reads.hedges() == 0);
 }
 
@@ -55,7 +55,7 @@
   CHECK(harness.answer->value().at == 7);
   harness.source.pages[0](SourceError::NoAnswer);
   harness.source.pages[1](ItemPage{{}, false, 6});
-  CHECK(harness.answers == 1);
+  CHECK(harness.answer_count == 1);
   CHECK(harness.reads.hedges() == 2);
 }
 
@@ -64,7 +64,7 @@
   harness.scheduler.advance(milliseconds(350));
   REQUIRE(harness.source.pages.size() == 2);
   harness.source.pages[1](SourceError::NoAnswer);
-  CHECK(harness.answers == 0);
+  CHECK(harness.answer_count == 0);
   SECTION("the first send is refused") {
     harness.source.pages[0](SourceError::Throttled);
     CHECK(harness.answer->error() == SourceError::Throttled);
