--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -60,8 +60,8 @@
   CompactToken token;
 };
 
-Item serverItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
-  ServerRecord record;
+Item serverItem(std::uint32_t number, Revision revision, BackendState state = BackendState::Ready) {
+  BackendRecord record;
   record.server_id = 0x9e3779b97f4a7c15ULL * (number + 1);
   record.service = number % 5 == 0 ? "imagenes" : "catalogo";
   record.address = Endpoint{0x0b000000 + number, 9000};
@@ -157,7 +157,7 @@
     const auto number = static_cast<std::uint32_t>(revision % servers);
     const bool drains = revision % 2 == 0;
     harness.takeChange(
-        serverItem(number, revision, drains ? ServerState::Draining : ServerState::Ready));
+        serverItem(number, revision, drains ? BackendState::Draining : BackendState::Ready));
   }
 }
 BENCHMARK(measureServerChange)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
@@ -237,14 +237,14 @@
 }
 BENCHMARK(measureDecodeView)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
 
-KnownPeer peerOf(std::uint32_t number) {
+PeerInfo peerOf(std::uint32_t number) {
   return {{0x0c000000 + number, 8000}, linkClassOf(number % 50 == 0 ? 200 : 10)};
 }
 
 struct DirectoryHarness {
   DirectoryHarness() {
     for (std::uint32_t number = 1; number < kBalancers; ++number) {
-      directory.onShown(peerOf(number));
+      directory.onContact(peerOf(number));
     }
   }
   SettableTime time;
@@ -254,12 +254,12 @@
 
 void measurePeersTold(benchmark::State& state) {
   DirectoryHarness harness;
-  std::vector<KnownPeer> told;
+  std::vector<PeerInfo> told;
   for (std::uint32_t number = 1; number <= 100; ++number) {
     told.push_back(peerOf(number * 2));
   }
   for (auto _ : state) {
-    harness.directory.onTold(told);
+    harness.directory.onPeersReported(told);
   }
 }
 BENCHMARK(measurePeersTold)->Unit(benchmark::kMicrosecond);
@@ -268,7 +268,7 @@
   DirectoryHarness harness;
   std::uint32_t number = 0;
   for (auto _ : state) {
-    harness.directory.onShown(peerOf(++number % kBalancers));
+    harness.directory.onContact(peerOf(++number % kBalancers));
   }
 }
 BENCHMARK(measurePeerShown)->Unit(benchmark::kMicrosecond);
--- a/src/discovery/peer_exchange.cc
+++ b/src/discovery/peer_exchange.cc
@@ -11,8 +11,8 @@
       random_(random) {}
 
 void PeerExchange::start() {
-  const auto longest = static_cast<std::uint64_t>(settings_.first_delay.count());
-  const Duration first(static_cast<std::int64_t>(random_.below(longest)));
+  const auto max_delay = static_cast<std::uint64_t>(settings_.first_delay.count());
+  const Duration first(static_cast<std::int64_t>(random_.below(max_delay)));
   scheduler_.callAfter(first, [this] { exchangeWithSeed(); });
   scheduler_.callAfter(first + settings_.second_delay, [this] {
     exchangeWithSeed();
@@ -22,7 +22,7 @@
 
 void PeerExchange::exchangeWithSeed() {
   const std::vector<Endpoint> seeds = directory_.shuffledSeeds();
-  const std::optional<Endpoint> peer = seeds.empty() ? directory_.pick() : seeds.front();
+  const std::optional<Endpoint> peer = seeds.empty() ? directory_.pickRandom() : seeds.front();
   if (peer) {
     exchangeWith(*peer);
   }
@@ -30,7 +30,7 @@
 
 void PeerExchange::exchangeAfter(Duration delay) {
   scheduler_.callAfter(delay, [this] {
-    if (const auto peer = directory_.pick()) {
+    if (const auto peer = directory_.pickRandom()) {
       exchangeWith(*peer);
     }
     exchangeAfter(settings_.interval);
@@ -39,13 +39,13 @@
 
 void PeerExchange::exchangeWith(Endpoint peer) {
   client_.exchangePeers(peer,
-                        [this, peer](const Result<std::vector<KnownPeer>, SourceError>& answer) {
+                        [this, peer](const Result<std::vector<PeerInfo>, SourceError>& answer) {
                           if (!answer) {
                             directory_.onFailed(peer);
                             return;
                           }
-                          directory_.onAlive(peer);
-                          directory_.onTold(answer.value());
+                          directory_.onAnswer(peer);
+                          directory_.onPeersReported(answer.value());
                         });
 }
 
--- a/src/discovery/ranked_peers.cc
+++ b/src/discovery/ranked_peers.cc
@@ -19,7 +19,7 @@
   return left.rank == right.rank ? left.address < right.address : left.rank < right.rank;
 }
 
-void RankedPeers::put(const KnownPeer& peer, MonotonicTime at) {
+void RankedPeers::put(const PeerInfo& peer, MonotonicTime at) {
   const auto known = by_address_.find(peer.address);
   if (known != by_address_.end()) {
     known->second.at = at;
@@ -27,7 +27,7 @@
     return;
   }
   const RankedPeer ranked(peer);
-  by_address_.emplace(peer.address, Heard{at, ranked});
+  by_address_.emplace(peer.address, Entry{at, ranked});
   by_quality_.insert(ranked);
   by_rank_.insert(ranked);
 }
--- a/tests/discovery/peer_exchange_test.cc
+++ b/tests/discovery/peer_exchange_test.cc
@@ -22,17 +22,17 @@
   PeerExchange exchange{settings, directory, peers, scheduler, *random};
 };
 
-TEST_CASE("a seed is asked soon after the start, and tells of others", "[peer_exchange]") {
+TEST_CASE("the first exchange is with a seed, whose peers are added", "[peer_exchange]") {
   ExchangeHarness harness;
-  harness.peers.told_peers = {{kOther}};
-  harness.peers.tells(kSeed, {}, 1);
+  harness.peers.reported_peers = {{kOther}};
+  harness.peers.answersWith(kSeed, {}, 1);
   harness.exchange.start();
   harness.scheduler.advance(harness.settings.first_delay);
   CHECK(harness.peers.exchanged == std::vector<Endpoint>{kSeed});
-  CHECK(harness.directory.recent() == std::vector<Endpoint>{kSeed, kOther});
+  CHECK(harness.directory.recentPeers() == std::vector<Endpoint>{kSeed, kOther});
 }
 
-TEST_CASE("a seed that does not answer is asked again", "[peer_exchange]") {
+TEST_CASE("a seed that does not answer gets another request", "[peer_exchange]") {
   ExchangeHarness harness;
   harness.exchange.start();
   harness.scheduler.advance(harness.settings.first_delay + harness.settings.second_delay);
--- a/tests/discovery/probe_schedule_test.cc
+++ b/tests/discovery/probe_schedule_test.cc
@@ -9,11 +9,11 @@
 
 struct ScheduleHarness {
   explicit ScheduleHarness(std::uint32_t fleet = 1) {
-    std::vector<KnownPeer> peers;
+    std::vector<PeerInfo> peers;
     for (std::uint32_t address = 1; address <= fleet; ++address) {
       peers.push_back({{address, 1}, 0});
     }
-    directory.onTold(peers);
+    directory.onPeersReported(peers);
   }
 
   ManualTimeSource time;
@@ -24,36 +24,38 @@
   ProbeSchedule schedule{settings, own, directory, time};
 };
 
-TEST_CASE("a small fleet's turn is at once, and only while no upstream is fresh",
+TEST_CASE("in a small fleet a probe is due at once, and only while no upstream is fresh",
           "[probe_schedule]") {
   ScheduleHarness harness;
-  CHECK_FALSE(harness.schedule.isTurn());
+  CHECK_FALSE(harness.schedule.isProbeDue());
   harness.schedule.onNoFreshUpstream();
-  CHECK(harness.schedule.isTurn());
+  CHECK(harness.schedule.isProbeDue());
   harness.schedule.onFreshUpstream();
-  CHECK_FALSE(harness.schedule.isTurn());
+  CHECK_FALSE(harness.schedule.isProbeDue());
 }
 
-TEST_CASE("the deadline counts from what was told, and never goes back", "[probe_schedule]") {
+TEST_CASE("the deadline counts from the newest state received and never moves back",
+          "[probe_schedule]") {
   ScheduleHarness harness;
   harness.time.elapsed += seconds(10);
-  harness.schedule.onTold(0);
-  const Duration latest = harness.settings.budget.latestAskAge();
+  harness.schedule.onStateReceived(0);
+  const Duration latest = harness.settings.budget.maxProbeAge();
   CHECK(harness.schedule.untilDeadline() == latest);
   harness.time.elapsed += seconds(1);
   CHECK(harness.schedule.untilDeadline() == latest - seconds(1));
-  harness.schedule.onTold(5000);
+  harness.schedule.onStateReceived(5000);
   CHECK(harness.schedule.untilDeadline() == latest - seconds(1));
-  harness.schedule.onTold(300);
+  harness.schedule.onStateReceived(300);
   CHECK(harness.schedule.untilDeadline() == latest - milliseconds(300));
 }
 
-TEST_CASE("a store that does not answer is left alone for a while", "[probe_schedule]") {
+TEST_CASE("a store that does not answer is not called during the retry interval",
+          "[probe_schedule]") {
   ScheduleHarness harness;
   harness.schedule.onStoreError();
   CHECK_FALSE(harness.schedule.mayProbe());
   CHECK_FALSE(harness.schedule.mayWatch());
-  harness.time.elapsed += harness.settings.store_interval;
+  harness.time.elapsed += harness.settings.store_retry_interval;
   CHECK(harness.schedule.mayProbe());
   CHECK(harness.schedule.mayWatch());
   harness.schedule.onStoreCalled();
@@ -62,10 +64,10 @@
   CHECK(harness.schedule.mayProbe());
 }
 
-TEST_CASE("a large fleet probes a store that does not answer more rarely", "[probe_schedule]") {
+TEST_CASE("a large fleet probes a store that does not answer less often", "[probe_schedule]") {
   ScheduleHarness harness(98);
   harness.schedule.onStoreError();
-  harness.time.elapsed += harness.settings.store_interval;
+  harness.time.elapsed += harness.settings.store_retry_interval;
   CHECK(harness.schedule.mayWatch());
   CHECK_FALSE(harness.schedule.mayProbe());
   harness.time.elapsed += seconds(2);
