--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -121,7 +121,7 @@
     decider.setConfiguration(services.view);
     decider.setCompactTokens(&tokens);
     placement.setRequestsInFlight(&observer.requestsInFlight());
-    placement.setSuspicion(&silence);
+    placement.setBackendHealth(&silence);
   }
 
   void forwardPacket(const Backend&, CompactToken sent) override { token = sent; }
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -85,9 +85,9 @@
     return known == nullptr ? ServiceId() : known->service;
   });
   if (settings_.uses.pass_over_suspects) {
-    const BackendSuspicion& own = silence_;
-    const BackendSuspicion& shared = evidence_;
-    placement_.setSuspicion(settings_.uses.share_evidence ? &shared : &own);
+    const BackendHealth& own = silence_;
+    const BackendHealth& shared = evidence_;
+    placement_.setBackendHealth(settings_.uses.share_evidence ? &shared : &own);
   }
   if (settings_.uses.weigh_by_speed) {
     placement_.setSpeed(&response_times_);
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -162,7 +162,7 @@
   std::size_t zonesOutOfService() const { return zones_out_of_service_; }
   std::uint64_t routesVersion() const { return registry_.routesVersion(); }
   const BackendRegistryCounters& registryCounters() const { return registry_.counters(); }
-  std::uint64_t candidatesMade() const { return placement_.candidatesMade(); }
+  std::uint64_t candidatesEvaluated() const { return placement_.candidatesEvaluated(); }
 
  private:
   // PacketRouterHost
--- a/src/flow/placement_engine.cc
+++ b/src/flow/placement_engine.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-class LoadedCandidates : public CandidateSet {
+class LoadAwareCandidates : public CandidateSet {
  public:
-  LoadedCandidates(const std::vector<const Backend*>& backends, const BackendLoadTable& loads,
-                   const BackendSpeed* speed, const RequestsInFlight* in_flight,
-                   std::optional<ZoneId> local_zone, double local_weight, MonotonicTime now)
+  LoadAwareCandidates(const std::vector<const Backend*>& backends, const BackendLoadTable& loads,
+                      const BackendSpeed* speed, const RequestsInFlight* in_flight,
+                      std::optional<ZoneId> local_zone, double local_weight, MonotonicTime now)
       : backends_(backends),
         loads_(loads),
         speed_(speed),
@@ -34,8 +34,8 @@
   }
   double weight(std::size_t index) const override {
     const Backend& backend = *backends_[index];
-    const double share = speed_ == nullptr ? 1 : speed_->shareOf(backend.id);
-    return share * backend.slots * (backend.zone == local_zone_ ? local_weight_ : 1);
+    const double speed_fraction = speed_ == nullptr ? 1 : speed_->shareOf(backend.id);
+    return speed_fraction * backend.slots * (backend.zone == local_zone_ ? local_weight_ : 1);
   }
 
  private:
@@ -52,7 +52,7 @@
  * Changes from which lists are made anew: to look for one back end in a list costs as much as a
  * fiftieth of that (control_work_bench, 3,000 servers).
  */
-constexpr std::size_t kChangesToRemake = 50;
+constexpr std::size_t kMaxIncrementalChanges = 50;
 
 /** Takes an element out; the last one gets its place. */
 void eraseUnordered(std::vector<const Backend*>& backends, const Backend* backend) {
@@ -87,38 +87,39 @@
     setConfiguration(configuration_);
     return;
   }
-  if (changes.backends.size() + changes.removed.size() > kChangesToRemake) {
+  if (changes.backends.size() + changes.removed.size() > kMaxIncrementalChanges) {
     invalidateCandidates();
     return;
   }
   for (const auto& backend : changes.removed) {
-    takeOut(backend.get());
+    removeCandidate(backend.get());
   }
   for (const Backend* backend : changes.backends) {
-    takeOut(backend);
-    takeIn(backend);
+    removeCandidate(backend);
+    addCandidate(backend);
   }
 }
 
-void PlacementEngine::takeOut(const Backend* backend) {
+void PlacementEngine::removeCandidate(const Backend* backend) {
   for (auto& [service, list] : candidates_) {
     eraseUnordered(list.eligible, backend);
     eraseUnordered(list.backends, backend);
   }
 }
 
-void PlacementEngine::takeIn(const Backend* backend) {
+void PlacementEngine::addCandidate(const Backend* backend) {
   const auto found = candidates_.find(backend->service);
   const Service* service = configuration_->service(backend->service);
   if (found == candidates_.end() || service == nullptr || backend->retired ||
       !isEligible(*service, *backend)) {
     return;
   }
-  const bool is_out_of_reach = suspicion_ != nullptr && suspicion_->isOutOfReach(backend->id);
-  if (is_out_of_reach && !found->second.eligible.empty()) {
+  const bool is_in_unreachable_zone =
+      backend_health_ != nullptr && backend_health_->isInUnreachableZone(backend->id);
+  if (is_in_unreachable_zone && !found->second.eligible.empty()) {
     return;
   }
-  ++candidates_made_;
+  ++candidates_evaluated_;
   found->second.eligible.push_back(backend);
   found->second.backends.push_back(backend);
 }
@@ -134,9 +135,9 @@
     std::vector<const Backend*>& backends = list.backends;
     std::iter_swap(std::find(backends.begin(), backends.end(), chosen), backends.end() - 1);
     backends.pop_back();
-    const Backend* refused_before = chosen;
+    const Backend* refusing = chosen;
     chosen = choose(list, flow, local_weight);
-    backends.push_back(refused_before);
+    backends.push_back(refusing);
   }
   if (chosen == nullptr) {
     return refusalFor(service, list);
@@ -181,11 +182,11 @@
   std::vector<const Backend*>& backends = list.backends;
   const MonotonicTime now = time_source_.monotonicTime();
   while (!backends.empty()) {
-    const LoadedCandidates candidates(backends, loads_, speed_, in_flight_, local_zone_,
-                                      local_weight, now);
+    const LoadAwareCandidates candidates(backends, loads_, speed_, in_flight_, local_zone_,
+                                         local_weight, now);
     const std::size_t index = policy_->choose(candidates, flow, random_);
     const Backend* chosen = backends[index];
-    if (fits(*chosen, list)) {
+    if (isSelectable(*chosen, list)) {
       return chosen;
     }
     backends[index] = backends.back();
@@ -194,10 +195,10 @@
   return nullptr;
 }
 
-bool PlacementEngine::fits(const Backend& backend, const CandidateList& list) const {
+bool PlacementEngine::isSelectable(const Backend& backend, const CandidateList& list) const {
   return loads_.acceptsNewWork(backend) && !outliers_.isEjected(backend.id) &&
          (list.ignore_reachability || loads_.looksReachable(backend)) &&
-         (list.ignore_suspicion || !isSuspect(backend)) &&
+         (list.ignore_suspects || !isSuspect(backend)) &&
          (cold_limit_ == nullptr || cold_limit_->admits(backend)) &&
          !loads_.isFull(backend, settings_.full_load);
 }
@@ -210,50 +211,50 @@
   const double spread = 0.5 + random_.unit();
   const double wait = static_cast<double>(loads_.residence(service.id).count()) * spread;
   return {Reason::Overloaded,
-          std::clamp(Duration(static_cast<std::int64_t>(wait)), settings_.retry_after_full_min,
-                     settings_.retry_after_full_max)};
+          std::clamp(Duration(static_cast<std::int64_t>(wait)), settings_.min_retry_after_full,
+                     settings_.max_retry_after_full)};
 }
 
 PlacementEngine::CandidateList& PlacementEngine::candidatesOf(const Service& service) {
   CandidateList& list = candidates_[service.id];
   if (isStale(list)) {
-    makeCandidates(service, list);
+    buildCandidates(service, list);
   }
   return list;
 }
 
 bool PlacementEngine::isStale(const CandidateList& list) const {
-  const bool never_made = list.made_at == MonotonicTime();
+  const bool never_built = list.built_at == MonotonicTime();
   const Duration lifetime =
-      list.backends.empty() ? settings_.empty_list_lifetime : settings_.candidate_list_lifetime;
-  return never_made || time_source_.monotonicTime() - list.made_at > lifetime;
+      list.backends.empty() ? settings_.empty_candidate_list_ttl : settings_.candidate_list_ttl;
+  return never_built || time_source_.monotonicTime() - list.built_at > lifetime;
 }
 
-void PlacementEngine::leaveOutOfReach(std::vector<const Backend*>& backends) const {
-  if (suspicion_ == nullptr) {
+void PlacementEngine::excludeUnreachableZones(std::vector<const Backend*>& backends) const {
+  if (backend_health_ == nullptr) {
     return;
   }
   const auto is_reachable = [this](const Backend* backend) {
-    return !suspicion_->isOutOfReach(backend->id);
+    return !backend_health_->isInUnreachableZone(backend->id);
   };
   if (std::any_of(backends.begin(), backends.end(), is_reachable)) {
     std::erase_if(backends, [&](const Backend* backend) { return !is_reachable(backend); });
   }
 }
 
-void PlacementEngine::makeCandidates(const Service& service, CandidateList& list) {
-  list.made_at = time_source_.monotonicTime();
+void PlacementEngine::buildCandidates(const Service& service, CandidateList& list) {
+  list.built_at = time_source_.monotonicTime();
   list.backends.clear();
   std::size_t reachable = 0;
   std::size_t suspects = 0;
   for (const Backend* backend : configuration_->backendsOf(service.id)) {
-    ++candidates_made_;
+    ++candidates_evaluated_;
     if (!isEligible(service, *backend)) {
       continue;
     }
     list.backends.push_back(backend);
   }
-  leaveOutOfReach(list.backends);
+  excludeUnreachableZones(list.backends);
   for (const Backend* backend : list.backends) {
     reachable += loads_.looksReachable(*backend) ? 1 : 0;
     suspects += isSuspect(*backend) ? 1 : 0;
@@ -264,8 +265,8 @@
   }
   list.ignore_reachability = static_cast<double>(reachable) <
                              settings_.panic_threshold * static_cast<double>(list.backends.size());
-  list.ignore_suspicion = static_cast<double>(suspects) >
-                          settings_.panic_threshold * static_cast<double>(list.backends.size());
+  list.ignore_suspects = static_cast<double>(suspects) >
+                         settings_.panic_threshold * static_cast<double>(list.backends.size());
   list.eligible = list.backends;
   if (locality_ != nullptr) {
     assessLocality(service, list);
@@ -277,7 +278,7 @@
   locality_->assess(service, capacity);
   if (locality_->ownZoneSuffices(capacity)) {
     // In a zone that is cut off most back ends are silent, and those of the zone serve its callers.
-    list.ignore_suspicion = false;
+    list.ignore_suspects = false;
   }
 }
 
@@ -286,15 +287,15 @@
   LocalityCapacity capacity;
   capacity.zones = configuration_->document().zones.size();
   for (const Backend* backend : list.backends) {
-    const bool usable =
+    const bool is_usable =
         !isSuspect(*backend) && loads_.looksReachable(*backend) && now >= backend->cold_until;
-    const double share = speed_ == nullptr ? 1 : speed_->shareOf(backend->id);
-    const double usable_slots = usable ? share * backend->slots : 0;
+    const double speed_fraction = speed_ == nullptr ? 1 : speed_->shareOf(backend->id);
+    const double available_slots = is_usable ? speed_fraction * backend->slots : 0;
     capacity.all_slots += backend->slots;
-    capacity.all_usable += usable_slots;
+    capacity.all_usable += available_slots;
     if (isLocal(*backend)) {
       capacity.own_slots += backend->slots;
-      capacity.own_usable += usable_slots;
+      capacity.own_usable += available_slots;
     }
   }
   capacity.demand = zone_demand_ ? zone_demand_(service) : DemandEstimate();
--- a/src/flow/placement_engine.h
+++ b/src/flow/placement_engine.h
@@ -33,16 +33,16 @@
 /** Tunables of the placement of new flows. */
 struct PlacementSettings {
   /** Longest time for which a list of candidates is used before it is made again. */
-  Duration candidate_list_lifetime = milliseconds(200);
+  Duration candidate_list_ttl = milliseconds(200);
   /** The same for a list that has become empty. */
-  Duration empty_list_lifetime = milliseconds(50);
+  Duration empty_candidate_list_ttl = milliseconds(50);
   /** Requests over slots from which a back end counts as full. */
   double full_load = 8.0;
   /** Smallest share of reachable back ends with which reports of reachability are believed. */
   double panic_threshold = 0.5;
   /** Bounds of the time that callers are told to wait when every back end is full. */
-  Duration retry_after_full_min = milliseconds(100);
-  Duration retry_after_full_max = seconds(5);
+  Duration min_retry_after_full = milliseconds(100);
+  Duration max_retry_after_full = seconds(5);
   /** Time that callers are told to wait when there is no candidate at all. */
   Duration retry_after = seconds(1);
   OutlierSettings outliers;
@@ -55,15 +55,15 @@
 };
 
 /** What else a node has learnt of back ends. */
-class BackendSuspicion {
+class BackendHealth {
  public:
-  virtual ~BackendSuspicion() = default;
+  virtual ~BackendHealth() = default;
 
   /** @return true where the back end does not seem to answer now. */
   virtual bool isSuspect(BackendId backend) const = 0;
 
   /** @return true where its whole zone can't be reached from here, while others can. */
-  virtual bool isOutOfReach(BackendId /*backend*/) const { return false; }
+  virtual bool isInUnreachableZone(BackendId /*backend*/) const { return false; }
 };
 
 /**
@@ -110,7 +110,7 @@
   void setColdServerLimit(ColdServerLimit* limit) { cold_limit_ = limit; }
 
   /** Sets what tells of back ends that do not answer; they are passed over. */
-  void setSuspicion(const BackendSuspicion* suspicion) { suspicion_ = suspicion; }
+  void setBackendHealth(const BackendHealth* backend_health) { backend_health_ = backend_health; }
 
   /** Sets what finds the own zone's weight; without it, it is the settings' constant. */
   void setLocality(LocalityRouter* locality) { locality_ = locality; }
@@ -132,29 +132,29 @@
   bool isEjected(BackendId backend) const { return outliers_.isEjected(backend); }
 
   /** @return the back ends that were looked at to make lists of candidates, for all time. */
-  std::uint64_t candidatesMade() const { return candidates_made_; }
+  std::uint64_t candidatesEvaluated() const { return candidates_evaluated_; }
 
  private:
   /** Back ends that may be chosen; those found not to fit are taken out until it is made again. */
   struct CandidateList {
     std::vector<const Backend*> backends;
-    MonotonicTime made_at;
+    MonotonicTime built_at;
     /** Back ends in allowed zones that are not leaving, whether they fit or not. */
     std::vector<const Backend*> eligible;
     /** Most back ends look unreachable, so the view is suspect: reachability is not looked at. */
     bool ignore_reachability = false;
     /** The same for back ends that do not seem to answer. */
-    bool ignore_suspicion = false;
+    bool ignore_suspects = false;
   };
 
   CandidateList& candidatesOf(const Service& service);
-  void makeCandidates(const Service& service, CandidateList& list);
+  void buildCandidates(const Service& service, CandidateList& list);
   bool isStale(const CandidateList& list) const;
   bool isEligible(const Service& service, const Backend& backend) const {
     return service.allowsZone(backend.zone) && !loads_.isLeaving(backend);
   }
-  void takeOut(const Backend* backend);
-  void takeIn(const Backend* backend);
+  void removeCandidate(const Backend* backend);
+  void addCandidate(const Backend* backend);
 
   /** Tells the LocalityRouter what the candidates can take. */
   void assessLocality(const Service& service, CandidateList& list);
@@ -162,13 +162,13 @@
   double localWeight(ServiceId service, FlowVolume volume) const;
   bool isLocal(const Backend& backend) const { return backend.zone == local_zone_; }
   /** Leaves out back ends in zones that can't be reached, unless none would be left. */
-  void leaveOutOfReach(std::vector<const Backend*>& backends) const;
+  void excludeUnreachableZones(std::vector<const Backend*>& backends) const;
   bool isSuspect(const Backend& backend) const {
-    return suspicion_ != nullptr && suspicion_->isSuspect(backend.id);
+    return backend_health_ != nullptr && backend_health_->isSuspect(backend.id);
   }
 
   /** @return false where the back end is full, refused lately, is ejected or looks unreachable. */
-  bool fits(const Backend& backend, const CandidateList& list) const;
+  bool isSelectable(const Backend& backend, const CandidateList& list) const;
 
   /** Chooses from the list and takes out what does not fit. @return nullptr if nothing is left. */
   const Backend* choose(CandidateList& list, const FlowId& flow, double local_weight);
@@ -180,7 +180,7 @@
   const TimeSource& time_source_;
   RandomGenerator& random_;
   OutlierDetector outliers_;
-  const BackendSuspicion* suspicion_ = nullptr;
+  const BackendHealth* backend_health_ = nullptr;
   const BackendSpeed* speed_ = nullptr;
   ColdServerLimit* cold_limit_ = nullptr;
   const RequestsInFlight* in_flight_ = nullptr;
@@ -188,7 +188,7 @@
   std::function<DemandEstimate(ServiceId)> zone_demand_;
   ConfigurationViewPtr configuration_;
   std::unordered_map<ServiceId, CandidateList> candidates_;
-  std::uint64_t candidates_made_ = 0;
+  std::uint64_t candidates_evaluated_ = 0;
   /** Id of the local zone in the configuration in force. */
   std::optional<ZoneId> local_zone_;
 };
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -255,7 +255,7 @@
   return silent_for >= settings_.dead_after || !isUnderPressure(backends_.at(backend).service);
 }
 
-bool SharedEvidence::isOutOfReach(BackendId backend) const {
+bool SharedEvidence::isInUnreachableZone(BackendId backend) const {
   if (zones_out_.empty()) {
     return false;
   }
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -57,7 +57,7 @@
  * together. Reports of others count while they are fresh, where several agree, for a bounded share
  * of a service, and until anybody gets an answer.
  */
-class SharedEvidence : public BackendSuspicion {
+class SharedEvidence : public BackendHealth {
  public:
   SharedEvidence(SharedEvidenceSettings settings, const SilenceDetector& own,
                  const TimeSource& time_source, EventLog& log)
@@ -77,7 +77,7 @@
   void onBehind() { behind_at_ = time_source_.monotonicTime(); }
 
   bool isSuspect(BackendId backend) const override;
-  bool isOutOfReach(BackendId backend) const override;
+  bool isInUnreachableZone(BackendId backend) const override;
 
   /**
    * @param repetitions of the flow at hand, which must not have been answered itself.
--- a/src/flow/silence_detector.h
+++ b/src/flow/silence_detector.h
@@ -74,7 +74,7 @@
  * callers can try elsewhere. Any sign of life ends both, but for back ends that fail by turns: they
  * get no new flow for some time after it.
  */
-class SilenceDetector : public BackendSuspicion {
+class SilenceDetector : public BackendHealth {
  public:
   /** @return the service of a back end, for which pressure is judged. */
   using ServiceOf = std::function<ServiceId(BackendId)>;
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -107,13 +107,13 @@
   LargeNode large;
   large.open(1);
   const BackendRegistryCounters before = large.node.registryCounters();
-  const std::uint64_t candidates_before = large.node.candidatesMade();
+  const std::uint64_t candidates_before = large.node.candidatesEvaluated();
   large.change({{serverItem(77, 11, ServerState::Draining), false}});
   large.open(2);
   CHECK(large.node.registryCounters().backends_made == before.backends_made + 1);
   CHECK(large.node.registryCounters().routes_made == before.routes_made);
   CHECK(large.node.registryCounters().services_made == before.services_made);
-  CHECK(large.node.candidatesMade() <= candidates_before + 1);
+  CHECK(large.node.candidatesEvaluated() <= candidates_before + 1);
 }
 
 TEST_CASE("many changes at once are told as lists, a few with a line each", "[control_work]") {
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -167,8 +167,8 @@
   }
   fleet.scheduler.advance(milliseconds(310));
   for (std::size_t index = 0; index < 6; ++index) {
-    CHECK(fleet.nodes[index]->evidence.shared.isOutOfReach(BackendId(20)));
-    CHECK_FALSE(fleet.nodes[index]->evidence.shared.isOutOfReach(BackendId(10)));
+    CHECK(fleet.nodes[index]->evidence.shared.isInUnreachableZone(BackendId(20)));
+    CHECK_FALSE(fleet.nodes[index]->evidence.shared.isInUnreachableZone(BackendId(10)));
     CHECK(fleet.nodes[6 + index]->evidence.shared.told().empty());
   }
 }
--- a/tests/flow/load_replay.h
+++ b/tests/flow/load_replay.h
@@ -50,7 +50,7 @@
 };
 
 /** Servers that every node suspects. */
-struct SuspicionFake : BackendSuspicion {
+struct SuspicionFake : BackendHealth {
   bool isSuspect(BackendId backend) const override { return suspects.count(backend.value()) > 0; }
   std::set<std::uint32_t> suspects;
 };
@@ -204,7 +204,7 @@
       engine.setSpeed(&speed);
       engine.setRequestsInFlight(&in_flight);
       engine.setLocality(&locality);
-      engine.setSuspicion(&replay.suspicion);
+      engine.setBackendHealth(&replay.suspicion);
     }
 
     static LocalitySettings settingsOf(ReplayWay way) {
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -58,9 +58,9 @@
     reporter.setConfiguration(*view);
     decider.setConfiguration(view);
     decider.setCompactTokens(&tokens);
-    const BackendSuspicion& by_self = silence;
-    const BackendSuspicion& by_all = shared;
-    placement.setSuspicion(ways.asks_others ? &by_all : &by_self);
+    const BackendHealth& by_self = silence;
+    const BackendHealth& by_all = shared;
+    placement.setBackendHealth(ways.asks_others ? &by_all : &by_self);
     placement.setRequestsInFlight(&observer.requestsInFlight());
   }
 
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -21,7 +21,7 @@
   void setConfiguration(const Configuration& configuration) {
     decider.setConfiguration(viewOf(configuration));
     decider.setCompactTokens(&tokens);
-    placement.setSuspicion(&silence);
+    placement.setBackendHealth(&silence);
   }
 
   void forwardPacket(const Backend& backend, CompactToken token) override {
--- a/tests/flow/shared_evidence_test.cc
+++ b/tests/flow/shared_evidence_test.cc
@@ -118,26 +118,26 @@
   harness.node.loses(11);
   harness.node.isTold({11, 12, 13}, 1);
   SECTION("while another answers") {
-    CHECK(harness.node.shared.isOutOfReach(BackendId(20)));
-    CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(1)));
-    CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(30)));
+    CHECK(harness.node.shared.isInUnreachableZone(BackendId(20)));
+    CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(1)));
+    CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(30)));
     SECTION("until it answers this node") {
       harness.node.isAnswered(20);
       harness.advance(0);
-      CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
+      CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(20)));
     }
     SECTION("until another objects") {
       harness.node.isToldLife(20, 700);
-      CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
+      CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(20)));
     }
     SECTION("until it ends by itself") {
       harness.advanceAnswered(1500);
-      CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
+      CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(20)));
     }
   }
   SECTION("but not while none answers: then this node is cut off") {
     harness.advance(550);
-    CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
+    CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(20)));
   }
 }
 
@@ -158,7 +158,7 @@
     harness.node.loses(11);
     harness.node.isTold({11, 12}, 5);
   }
-  CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
+  CHECK_FALSE(harness.node.shared.isInUnreachableZone(BackendId(20)));
 }
 
 TEST_CASE("an open flow's server is dead by several flows of several nodes", "[shared_evidence]") {
@@ -307,7 +307,7 @@
   harness.advanceAnswered(300);
   harness.node.isTold({11, 12, 13}, 2, 2);
   harness.advanceAnswered(250);
-  CHECK(harness.node.shared.isOutOfReach(BackendId(20)));
+  CHECK(harness.node.shared.isInUnreachableZone(BackendId(20)));
   CHECK_FALSE(harness.isDead(20));
 }
 
--- a/tests/flow/zone_out_of_reach_test.cc
+++ b/tests/flow/zone_out_of_reach_test.cc
@@ -7,11 +7,13 @@
 namespace {
 
 /** Zones that can't be reached, as the test says. */
-struct FakeSuspicion : BackendSuspicion {
+struct FakeSuspicion : BackendHealth {
   bool isSuspect(BackendId backend) const override {
-    return suspects_servers && isOutOfReach(backend);
+    return suspects_servers && isInUnreachableZone(backend);
+  }
+  bool isInUnreachableZone(BackendId backend) const override {
+    return backend.value() > last_in_reach;
   }
-  bool isOutOfReach(BackendId backend) const override { return backend.value() > last_in_reach; }
   std::uint32_t last_in_reach = 30;
   /** Its servers are suspect one by one, too. */
   bool suspects_servers = true;
@@ -20,7 +22,7 @@
 struct Harness {
   Harness() {
     engine.setConfiguration(view);
-    engine.setSuspicion(&suspicion);
+    engine.setBackendHealth(&suspicion);
   }
 
   /** @return the highest id among the back ends of many placements. */
