--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -34,8 +34,8 @@
 
 LocalitySettings localitySettingsOf(const PacketNodeSettings& settings) {
   LocalitySettings locality = settings.locality;
-  locality.largest_weight = settings.placement.local_weight;
-  locality.largest_bulk_weight = settings.placement.bulk_local_weight;
+  locality.max_weight = settings.placement.local_weight;
+  locality.max_bulk_weight = settings.placement.bulk_local_weight;
   return locality;
 }
 
--- a/src/flow/locality_router.h
+++ b/src/flow/locality_router.h
@@ -36,9 +36,9 @@
 struct LocalitySettings {
   LocalityMode mode = LocalityMode::Adaptive;
   /** Largest weight of a back end in the own zone, as a multiple of that of others. */
-  double largest_weight = 1;
+  double max_weight = 1;
   /** The same for flows of routes whose callers send large requests: their bytes cross zones. */
-  double largest_bulk_weight = 1;
+  double max_bulk_weight = 1;
   /**
    * The own zone keeps at most this times the number of zones times its part of all usable slots.
    * Above 1, since slots are seldom all busy: with 2, a zone keeps all its flows down to half of an
@@ -55,43 +55,43 @@
    * Multiple of the service time from which callers of other zones are seen to wait there. Then,
    * and where the own zone answers no later, nothing is gained by leaving it.
    */
-  double waits_from = 1.5;
+  double queueing_ratio = 1.5;
   /** Multiple of others' response times from which the own zone counts as late... */
-  double late_from = 1.3;
+  double slow_ratio = 1.3;
   /** ...and below which it no longer does; between the two the share stays as it is. */
-  double in_time_below = 1.15;
+  double recovered_ratio = 1.15;
   /** Least time that a caller gains by leaving the own zone; less is not worth the bytes. */
-  Duration smallest_gain = milliseconds(10);
+  Duration min_gain = milliseconds(10);
   /**
    * Shortest time between two steps away from the own zone: the effect of the last one must first
    * show in an answer or two.
    */
-  Duration overflow_interval = milliseconds(500);
+  Duration overflow_cooldown = milliseconds(500);
   /** Time for which the own zone must not have been late before a step back. */
-  Duration return_interval = seconds(1);
+  Duration return_delay = seconds(1);
   /** Longest such time; it doubles when a step back makes the own zone late again. */
-  Duration longest_return_interval = seconds(8);
+  Duration max_return_delay = seconds(8);
 };
 
 /** Slots of a service's back ends that may get new flows. */
 struct LocalityCapacity {
   /** In the own zone; and of these, by speed, those that are warm and seem to answer. */
-  double own_slots = 0;
-  double own_usable = 0;
+  double local_slots = 0;
+  double local_usable_slots = 0;
   /** The same in all allowed zones, the own one included. */
-  double all_slots = 0;
-  double all_usable = 0;
+  double total_slots = 0;
+  double total_usable_slots = 0;
   /** Zones that may have callers. */
-  std::size_t zones = 1;
+  std::size_t zone_count = 1;
   /** What the callers of the own zone ask, wherever they are served. */
   DemandEstimate demand = {};
 };
 
 /** Flows placed since the start of the process. */
 struct LocalityCounters {
-  std::uint64_t own_zone = 0;
+  std::uint64_t local_zone = 0;
   /** Placed in another zone, by the cause of the share at that time. */
-  std::uint64_t beyond[static_cast<std::size_t>(OverflowCause::Last) + 1] = {};
+  std::uint64_t remote_by_cause[static_cast<std::size_t>(OverflowCause::Last) + 1] = {};
 };
 
 /**
@@ -110,10 +110,10 @@
       : settings_(settings), time_source_(time_source), log_(log) {}
 
   /** A caller has received the beginning of an answer, that long after it began to ask. */
-  void onResponse(ServiceId service, bool own_zone, Duration duration);
+  void onResponse(ServiceId service, bool is_local, Duration duration);
 
   /** Notes where a new flow goes. */
-  void onPlaced(ServiceId service, bool own_zone);
+  void onPlaced(ServiceId service, bool is_local);
 
   /** Takes the present capacity and moves the share; to be called a few times a second. */
   void assess(const Service& service, const LocalityCapacity& capacity);
@@ -122,13 +122,13 @@
   double weight(ServiceId service, bool bulk) const;
 
   /** @return true where the own zone alone can take its part of the traffic. */
-  bool ownZoneSuffices(const LocalityCapacity& capacity) const;
+  bool localZoneSuffices(const LocalityCapacity& capacity) const;
 
   /** Forgets services that are not known any more. */
   void retain(const ConfigurationView& configuration);
 
   /** @return share of new flows that stays in the own zone by weight and slots, without load. */
-  double ownShare(ServiceId service) const;
+  double localFraction(ServiceId service) const;
   OverflowCause cause(ServiceId service) const;
   LocalityCounters counters(ServiceId service) const;
 
@@ -139,46 +139,47 @@
     OverflowCause cause = OverflowCause::None;
     bool assessed = false;
     /** Share of the own zone by its slots alone. */
-    double even_share = 1;
-    MonotonicTime raised_at;
+    double slot_fraction = 1;
+    MonotonicTime last_raise_at;
     /** Last time that speaks against a step back: it was late, or stepped. */
-    MonotonicTime not_before;
-    Duration return_interval{};
-    bool returned_last = false;
+    MonotonicTime return_delay_since;
+    Duration return_delay{};
+    bool last_change_was_return = false;
     /** Steps that the demand calls for, with hysteresis; unset where it is not known. */
     std::optional<int> demand_level;
     /** Of these, steps taken back since they gained nothing. */
-    int relief = 0;
+    int relief_steps = 0;
     /** Last time that speaks against taking one more back. */
-    MonotonicTime relief_not_before;
-    LogTimeStatistics own;
-    LogTimeStatistics others;
+    MonotonicTime relief_delay_since;
+    LogTimeStatistics local;
+    LogTimeStatistics remote;
     LocalityCounters counters;
   };
 
-  enum class Lateness { InTime, Between, Late, VeryLate };
+  enum class LatencyComparison { NotSlower, WithinHysteresis, Slower, MuchSlower };
 
   const State* find(ServiceId service) const;
   /** @return share of new flows that the own zone keeps at the state's level. */
-  double shareAt(const State& state) const;
+  double localFractionAt(const State& state) const;
   /** @return least steps away from the own zone that its usable slots call for. */
-  int floorOf(const State& state, const LocalityCapacity& capacity) const;
+  int minLevel(const State& state, const LocalityCapacity& capacity) const;
   /** The same by usable slots alone, where the demand is not known. */
   int capacityLevel(const State& state, const LocalityCapacity& capacity) const;
   /** Brings the steps that the demand calls for up to date. */
-  void followDemand(State& state, const LocalityCapacity& capacity) const;
+  void updateDemandLevel(State& state, const LocalityCapacity& capacity) const;
   /** Takes back a step of these where both sides answer alike. */
-  void relieve(State& state, const LocalityCapacity& capacity) const;
+  void reduceDemandOverflow(State& state, const LocalityCapacity& capacity) const;
   /** @return true where others' callers wait too, and the own zone's are answered no later. */
-  bool gainsNothing(const State& state, Duration service_time, MonotonicTime now) const;
-  /** @return how much later the own zone answers; InTime where there are too few answers. */
-  Lateness lateness(const State& state, MonotonicTime now) const;
+  bool overflowHasNoGain(const State& state, Duration service_time, MonotonicTime now) const;
+  /** @return how much later the own zone answers; NotSlower where there are too few answers. */
+  LatencyComparison compareLatency(const State& state, MonotonicTime now) const;
   /** Moves away from the own zone, by the steps and at least to the floor. */
-  void raise(State& state, int floor, int steps, MonotonicTime now) const;
+  void raiseLevel(State& state, int min_level, int steps, MonotonicTime now) const;
   /** Moves one step back where the zone was not late for the return interval. */
-  void stepBack(State& state, int floor, MonotonicTime now) const;
-  void move(State& state, int floor) const;
-  void logStep(const Service& service, const State& state, const LocalityCapacity& capacity) const;
+  void lowerLevel(State& state, int min_level, MonotonicTime now) const;
+  void updateLevel(State& state, int min_level) const;
+  void logLevelChange(const Service& service, const State& state,
+                      const LocalityCapacity& capacity) const;
 
   const LocalitySettings settings_;
   const TimeSource& time_source_;
--- a/src/flow/placement_engine.cc
+++ b/src/flow/placement_engine.cc
@@ -276,7 +276,7 @@
 void PlacementEngine::assessLocality(const Service& service, CandidateList& list) {
   const LocalityCapacity capacity = capacityOf(service.id, list);
   locality_->assess(service, capacity);
-  if (locality_->ownZoneSuffices(capacity)) {
+  if (locality_->localZoneSuffices(capacity)) {
     // In a zone that is cut off most back ends are silent, and those of the zone serve its callers.
     list.ignore_suspects = false;
   }
@@ -285,17 +285,17 @@
 LocalityCapacity PlacementEngine::capacityOf(ServiceId service, const CandidateList& list) const {
   const MonotonicTime now = time_source_.monotonicTime();
   LocalityCapacity capacity;
-  capacity.zones = configuration_->document().zones.size();
+  capacity.zone_count = configuration_->document().zones.size();
   for (const Backend* backend : list.backends) {
     const bool is_usable =
         !isSuspect(*backend) && loads_.looksReachable(*backend) && now >= backend->cold_until;
     const double speed_fraction = speed_ == nullptr ? 1 : speed_->shareOf(backend->id);
     const double available_slots = is_usable ? speed_fraction * backend->slots : 0;
-    capacity.all_slots += backend->slots;
-    capacity.all_usable += available_slots;
+    capacity.total_slots += backend->slots;
+    capacity.total_usable_slots += available_slots;
     if (isLocal(*backend)) {
-      capacity.own_slots += backend->slots;
-      capacity.own_usable += available_slots;
+      capacity.local_slots += backend->slots;
+      capacity.local_usable_slots += available_slots;
     }
   }
   capacity.demand = zone_demand_ ? zone_demand_(service) : DemandEstimate();
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -167,16 +167,16 @@
   const char* help = "New flows placed, by zone and by why the share beyond the own zone was so.";
   for (const Service& service : node.configuration()->document().services) {
     const LocalityCounters counters = locality.counters(service.id);
-    page.addCounter("lugfork_flows_placed_total", help, counters.own_zone,
+    page.addCounter("lugfork_flows_placed_total", help, counters.local_zone,
                     {{"cause", "none"}, {"service", service.name}, {"zone", "own"}});
-    for (std::size_t index = 0; index < std::size(counters.beyond); ++index) {
+    for (std::size_t index = 0; index < std::size(counters.remote_by_cause); ++index) {
       const std::string_view cause = toString(static_cast<OverflowCause>(index));
-      page.addCounter("lugfork_flows_placed_total", help, counters.beyond[index],
+      page.addCounter("lugfork_flows_placed_total", help, counters.remote_by_cause[index],
                       {{"cause", cause}, {"service", service.name}, {"zone", "beyond"}});
     }
     page.addGauge("lugfork_own_zone_share",
                   "Share of new flows that stays in the own zone, by slots and weight.",
-                  locality.ownShare(service.id), {{"service", service.name}});
+                  locality.localFraction(service.id), {{"service", service.name}});
   }
 }
 
--- a/tests/flow/load_replay.h
+++ b/tests/flow/load_replay.h
@@ -61,7 +61,7 @@
   int own = 0;
   int refused = 0;
   int late = 0;
-  double ownShare() const { return flows == 0 ? 1 : static_cast<double>(own) / flows; }
+  double localFraction() const { return flows == 0 ? 1 : static_cast<double>(own) / flows; }
 };
 
 /** Which way the own zone is weighed. */
@@ -144,7 +144,7 @@
   std::pair<double, double> range(std::uint32_t zone, std::size_t count) const {
     std::pair<double, double> found{0, 1};
     for (std::size_t index = seconds_.size() - count; index < seconds_.size(); ++index) {
-      const double share = seconds_[index].at(zone).ownShare();
+      const double share = seconds_[index].at(zone).localFraction();
       found = {std::max(found.first, share), std::min(found.second, share)};
     }
     return found;
@@ -162,7 +162,7 @@
     double sum = 0;
     double squares = 0;
     for (const auto& node : nodes) {
-      const double share = node->locality.ownShare(ServiceId(1));
+      const double share = node->locality.localFraction(ServiceId(1));
       sum += share;
       squares += share * share;
     }
@@ -210,8 +210,8 @@
     static LocalitySettings settingsOf(ReplayWay way) {
       LocalitySettings settings;
       settings.mode = way.mode;
-      settings.largest_weight = way.weight;
-      settings.largest_bulk_weight = way.weight;
+      settings.max_weight = way.weight;
+      settings.max_bulk_weight = way.weight;
       return settings;
     }
 
--- a/tests/flow/locality_demand_test.cc
+++ b/tests/flow/locality_demand_test.cc
@@ -16,8 +16,8 @@
 
   static LocalitySettings make() {
     LocalitySettings settings;
-    settings.largest_weight = 50;
-    settings.largest_bulk_weight = 50;
+    settings.max_weight = 50;
+    settings.max_bulk_weight = 50;
     return settings;
   }
 
@@ -25,7 +25,7 @@
     const Service service{kFeed, "feed", kListen, {kLac, kAriana}};
     capacity.demand = {demand, milliseconds(25)};
     router.assess(service, capacity);
-    return router.ownShare(kFeed);
+    return router.localFraction(kFeed);
   }
 
   /** Lets half seconds pass, each with some answers from both sides. */
@@ -49,7 +49,7 @@
 TEST_CASE("a zone keeps what fills its slots to the target, at once", "[locality][demand]") {
   struct Row {
     const char* name;
-    double own_usable;
+    double local_usable_slots;
     double demand;
     double most_share;
     double least_share;
@@ -65,8 +65,8 @@
   for (const Row& row : rows) {
     INFO(row.name);
     DemandRouterHarness harness;
-    harness.capacity.own_usable = row.own_usable;
-    harness.capacity.all_usable = 216 + row.own_usable;
+    harness.capacity.local_usable_slots = row.local_usable_slots;
+    harness.capacity.total_usable_slots = 216 + row.local_usable_slots;
     const double share = harness.assess(row.demand);
     CHECK(share <= row.most_share);
     CHECK(share >= row.least_share);
@@ -82,13 +82,13 @@
   CHECK(harness.router.cause(kFeed) == OverflowCause::Capacity);
   harness.time.elapsed += seconds(1);
   harness.assess(100);
-  CHECK(harness.router.ownShare(kFeed) < 0.2);
+  CHECK(harness.router.localFraction(kFeed) < 0.2);
   harness.time.elapsed += seconds(60);
   for (int step = 0; step < 300; ++step) {
     harness.time.elapsed += milliseconds(200);
     harness.assess(0);
   }
-  CHECK(harness.router.ownShare(kFeed) == Approx(by_slots));
+  CHECK(harness.router.localFraction(kFeed) == Approx(by_slots));
 }
 
 TEST_CASE("a demand that wavers by a tenth does not move the share", "[locality][demand]") {
@@ -108,7 +108,7 @@
 TEST_CASE("callers who leave are followed back", "[locality][demand]") {
   DemandRouterHarness harness;
   harness.assess(60);
-  REQUIRE(harness.router.ownShare(kFeed) < 0.35);
+  REQUIRE(harness.router.localFraction(kFeed) < 0.35);
   for (int step = 0; step < 150; ++step) {
     harness.time.elapsed += milliseconds(200);
     harness.assess(10);
@@ -121,12 +121,12 @@
           "[locality][demand]") {
   DemandRouterHarness harness;
   harness.assess(40);
-  REQUIRE(harness.router.ownShare(kFeed) < 0.5);
+  REQUIRE(harness.router.localFraction(kFeed) < 0.5);
   harness.pass(120, 40, 80, 80);
   CHECK(harness.router.weight(kFeed, false) == 50);
   // More callers than that count at once again.
   harness.assess(80);
-  CHECK(harness.router.ownShare(kFeed) < 0.8);
+  CHECK(harness.router.localFraction(kFeed) < 0.8);
   CHECK(harness.router.cause(kFeed) == OverflowCause::Demand);
 }
 
@@ -135,10 +135,10 @@
   DemandRouterHarness harness;
   const double share = harness.assess(40);
   harness.pass(120, 40, 36, 30);
-  CHECK(harness.router.ownShare(kFeed) == Approx(share));
+  CHECK(harness.router.localFraction(kFeed) == Approx(share));
   // Response times go on from there.
   harness.pass(10, 40, 80, 30);
-  CHECK(harness.router.ownShare(kFeed) < share);
+  CHECK(harness.router.localFraction(kFeed) < share);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
 }
 
@@ -149,7 +149,7 @@
     harness.time.elapsed += milliseconds(200);
     harness.assess(40);
   }
-  CHECK(harness.router.ownShare(kFeed) == Approx(share));
+  CHECK(harness.router.localFraction(kFeed) == Approx(share));
 }
 
 }  // namespace
--- a/tests/flow/locality_load_test.cc
+++ b/tests/flow/locality_load_test.cc
@@ -74,7 +74,7 @@
     adaptive.servers[server].slowness = 1;
   }
   adaptive.run(45);
-  CHECK(adaptive.sum(1, 5).ownShare() > 0.93);
+  CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
 }
 
 TEST_CASE("clients that move to a zone are served by the others too, and not for longer",
@@ -93,7 +93,7 @@
   CHECK(most - least < 0.15);
   adaptive.load = {{1, 0.5}, {2, 0.5}, {3, 0.5}};
   adaptive.run(40);
-  CHECK(adaptive.sum(1, 5).ownShare() > 0.93);
+  CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
 }
 
 TEST_CASE("balancers that see a dozen flows a second follow a move of clients too",
@@ -102,7 +102,7 @@
     LoadReplay replay(way, 60);
     replay.load = {{1, 0.5}, {2, 0.5}, {3, 0.5}};
     replay.run(5);
-    CHECK(replay.sum(1, 3).ownShare() > 0.93);
+    CHECK(replay.sum(1, 3).localFraction() > 0.93);
     replay.load = {{1, 1.3}, {2, 0.1}, {3, 0.1}};
     replay.run(20);
     return replay;
@@ -124,9 +124,9 @@
   replay.suspicion.suspects.clear();
   replay.run(2);
   // Its servers get their even part first.
-  CHECK(replay.sum(1, 1).ownShare() < 0.5);
+  CHECK(replay.sum(1, 1).localFraction() < 0.5);
   replay.run(25);
-  CHECK(replay.sum(1, 2).ownShare() > 0.93);
+  CHECK(replay.sum(1, 2).localFraction() > 0.93);
 }
 
 TEST_CASE("in a zone that is cut off nearly all flows stay with its servers", "[locality][load]") {
@@ -137,7 +137,7 @@
     replay.suspicion.suspects.insert(300 + server);
   }
   replay.run(2);
-  CHECK(replay.sum(1, 1).ownShare() == 1);
+  CHECK(replay.sum(1, 1).localFraction() == 1);
   // A node whose own zone's servers are silent too learns nothing from that.
   for (std::uint32_t server = 0; server < kServersOfZone; ++server) {
     replay.suspicion.suspects.insert(100 + server);
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -20,8 +20,8 @@
   static LocalitySettings make(LocalityMode mode) {
     LocalitySettings settings;
     settings.mode = mode;
-    settings.largest_weight = 50;
-    settings.largest_bulk_weight = 80;
+    settings.max_weight = 50;
+    settings.max_bulk_weight = 80;
     return settings;
   }
 
@@ -69,7 +69,7 @@
     harness.router.onResponse(kFeed, true, milliseconds(100));
     harness.assess();
     REQUIRE(harness.router.weight(kFeed, false) == 50);
-    REQUIRE(harness.router.ownShare(kFeed) == 1);
+    REQUIRE(harness.router.localFraction(kFeed) == 1);
   }
 }
 
@@ -77,8 +77,8 @@
           "[locality]") {
   struct Row {
     const char* name;
-    double own_usable;
-    double all_usable;
+    double local_usable_slots;
+    double total_usable_slots;
     double most_share;
     double least_share;
   };
@@ -91,16 +91,16 @@
   for (const Row& row : rows) {
     INFO(row.name);
     LocalityHarness harness;
-    harness.capacity.own_usable = row.own_usable;
-    harness.capacity.all_usable = row.all_usable;
+    harness.capacity.local_usable_slots = row.local_usable_slots;
+    harness.capacity.total_usable_slots = row.total_usable_slots;
     harness.assess();
-    const double share = harness.router.ownShare(kFeed);
+    const double share = harness.router.localFraction(kFeed);
     CHECK(share <= row.most_share);
     CHECK(share >= row.least_share);
     harness.capacity = LocalityCapacity{40, 40, 120, 120, 3};
     harness.assess();
     // Callers must not all come at once to a zone that is just back.
-    CHECK(harness.router.ownShare(kFeed) == Approx(share));
+    CHECK(harness.router.localFraction(kFeed) == Approx(share));
     harness.pass(60, 30, 30);
     CHECK(harness.router.weight(kFeed, false) == 50);
     CHECK(harness.router.cause(kFeed) == OverflowCause::None);
@@ -109,7 +109,7 @@
 
 TEST_CASE("with the constant mode neither slots nor times change the weight", "[locality]") {
   LocalityHarness harness(LocalityMode::Constant);
-  harness.capacity.own_usable = 1;
+  harness.capacity.local_usable_slots = 1;
   harness.assess();
   harness.pass(20, 300, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
@@ -119,13 +119,13 @@
           "[locality]") {
   LocalityHarness harness;
   harness.pass(4, 45, 30);
-  const double first = harness.router.ownShare(kFeed);
+  const double first = harness.router.localFraction(kFeed);
   CHECK(first < 0.95);
   CHECK(first > 0.5);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
   harness.pass(30, 60, 30);
   // Never fewer than the zone's slots would get by themselves.
-  CHECK(harness.router.ownShare(kFeed) == Approx(1.0 / 3));
+  CHECK(harness.router.localFraction(kFeed) == Approx(1.0 / 3));
   CHECK(harness.router.weight(kFeed, true) == Approx(1));
   harness.pass(60, 30, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
@@ -160,7 +160,7 @@
       harness.router.onResponse(kFeed, true, milliseconds(1));
     }
   }
-  CHECK(harness.router.ownShare(kFeed) < 0.4);
+  CHECK(harness.router.localFraction(kFeed) < 0.4);
 }
 
 TEST_CASE("a service that becomes much faster is known as fast again", "[locality]") {
@@ -194,27 +194,27 @@
 TEST_CASE("a share between the bounds stands still", "[locality]") {
   LocalityHarness harness;
   harness.pass(4, 45, 30);
-  const double share = harness.router.ownShare(kFeed);
+  const double share = harness.router.localFraction(kFeed);
   harness.pass(20, 37, 30);
-  CHECK(harness.router.ownShare(kFeed) <= share);
-  const double later = harness.router.ownShare(kFeed);
+  CHECK(harness.router.localFraction(kFeed) <= share);
+  const double later = harness.router.localFraction(kFeed);
   harness.pass(40, 37, 30);
-  CHECK(harness.router.ownShare(kFeed) == Approx(later));
+  CHECK(harness.router.localFraction(kFeed) == Approx(later));
 }
 
 TEST_CASE("a step back that makes the zone late again is tried again less often", "[locality]") {
   LocalityHarness harness;
   // The zone is in time up to a share of 0.8.
   int changes = 0;
-  double last = harness.router.ownShare(kFeed);
+  double last = harness.router.localFraction(kFeed);
   for (int half = 0; half < 240; ++half) {
-    harness.pass(1, harness.router.ownShare(kFeed) > 0.8 ? 45 : 30, 30);
+    harness.pass(1, harness.router.localFraction(kFeed) > 0.8 ? 45 : 30, 30);
     if (half >= 120) {
-      changes += harness.router.ownShare(kFeed) == last ? 0 : 1;
-      CHECK(harness.router.ownShare(kFeed) > 0.6);
-      CHECK(harness.router.ownShare(kFeed) < 0.9);
+      changes += harness.router.localFraction(kFeed) == last ? 0 : 1;
+      CHECK(harness.router.localFraction(kFeed) > 0.6);
+      CHECK(harness.router.localFraction(kFeed) < 0.9);
     }
-    last = harness.router.ownShare(kFeed);
+    last = harness.router.localFraction(kFeed);
   }
   // In the last minute.
   CHECK(changes < 30);
@@ -243,7 +243,7 @@
   LocalityHarness harness;
   BoundedRendezvousPolicy policy;
   std::vector<double> weights = {harness.router.weight(kFeed, false)};
-  while (harness.router.ownShare(kFeed) > 0.34) {
+  while (harness.router.localFraction(kFeed) > 0.34) {
     harness.pass(1, 42, 30);
     weights.push_back(harness.router.weight(kFeed, false));
   }
@@ -264,13 +264,13 @@
   LocalityHarness harness;
   harness.router.onPlaced(kFeed, true);
   harness.router.onPlaced(kFeed, false);
-  harness.capacity.own_usable = 0;
+  harness.capacity.local_usable_slots = 0;
   harness.assess();
   harness.router.onPlaced(kFeed, false);
   const LocalityCounters counters = harness.router.counters(kFeed);
-  CHECK(counters.own_zone == 1);
-  CHECK(counters.beyond[static_cast<std::size_t>(OverflowCause::None)] == 1);
-  CHECK(counters.beyond[static_cast<std::size_t>(OverflowCause::Capacity)] == 1);
+  CHECK(counters.local_zone == 1);
+  CHECK(counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::None)] == 1);
+  CHECK(counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::Capacity)] == 1);
 }
 
 }  // namespace
--- a/tests/flow/overflow_by_demand_test.cc
+++ b/tests/flow/overflow_by_demand_test.cc
@@ -80,7 +80,8 @@
       CHECK(worstZone(replay, 28) < 0.01);
       // Counted by cause: the smallest zone's callers leave it.
       const LocalityCounters counters = replay.locality(2, 0).counters(ServiceId(1));
-      const auto by_demand = counters.beyond[static_cast<std::size_t>(OverflowCause::Demand)];
+      const auto by_demand =
+          counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::Demand)];
       CHECK((by_demand > 0) == (row.loads[1] > 0.4));
     }
   }
@@ -121,7 +122,7 @@
     LoadReplay replay = start(way, {25, kUnequal}, {0.5, 0.3, 0.1});
     replay.run(20);
     CHECK(worstZone(replay, 20) < 0.01);
-    return replay.sum(3, 10).ownShare();
+    return replay.sum(3, 10).localFraction();
   };
   // What the largest weight gives to a tenth of the slots.
   CHECK(own_share(kByDemand) > 0.8);
@@ -146,7 +147,7 @@
     replay.load[1] = 0.4;
     replay.run(20);
     CHECK(worstZone(replay, 20) < 0.01);
-    CHECK(replay.sum(1, 5).ownShare() > 0.93);
+    CHECK(replay.sum(1, 5).localFraction() > 0.93);
     // Where a balancer sees a dozen requests a second, later.
     LoadReplay weak = play(kByDemand, 25, seed);
     CHECK(lateOfAll(weak, 1) < 0.6 * lateOfAll(play(kByTimes, 25, seed), 1));
@@ -172,7 +173,7 @@
     replay.apply();
     replay.run(1);
     CHECK(worstZone(replay, 1) < 0.03);
-    CHECK(replay.sum(1, 1).ownShare() < 0.2);
+    CHECK(replay.sum(1, 1).localFraction() < 0.2);
     replay.run(9);
     CHECK(worstZone(replay, 9) < 0.04);
   }
@@ -195,8 +196,8 @@
     replay->run(28);
     CHECK(worstZone(*replay, 25) < 0.02);
   }
-  CHECK(half.sum(2, 5).ownShare() > 0.5);
-  CHECK(twice.sum(2, 5).ownShare() > 0.25);
+  CHECK(half.sum(2, 5).localFraction() > 0.5);
+  CHECK(twice.sum(2, 5).localFraction() > 0.25);
 }
 
 TEST_CASE("servers that turn twice as slow as their slots say are relieved by response times",
@@ -226,7 +227,7 @@
     replay.suspicion.suspects.insert(300 + server);
   }
   replay.run(2);
-  CHECK(replay.sum(1, 1).ownShare() == 1);
+  CHECK(replay.sum(1, 1).localFraction() == 1);
   CHECK(replay.sum(1, 2).refused == 0);
   // Where only the servers of the own zone are silent all go beyond.
   replay.suspicion.suspects.clear();
@@ -249,7 +250,7 @@
     times.run(40);
     CHECK(lateOfAll(replay, 40) < lateOfAll(times, 40) + 0.02);
     for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
-      CHECK(replay.sum(zone, 20).ownShare() > 0.88);
+      CHECK(replay.sum(zone, 20).localFraction() > 0.88);
       const auto [most, least] = replay.range(zone, 20);
       CHECK(most - least < 0.15);
     }
