--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -56,7 +56,7 @@
 class NoSender : public PacketSender {
  public:
   void forwardPacket(const Backend&, CompactToken sent_token) override { token = sent_token; }
-  void resetCaller(const FlowPacket&) override {}
+  void resetClient(const FlowPacket&) override {}
   CompactToken token;
 };
 
@@ -188,7 +188,7 @@
   for (auto _ : state) {
     time.elapsed += time_step;
     FlowPacket packet;
-    packet.caller = {0x7f000001, ++port};
+    packet.client = {0x7f000001, ++port};
     packet.service = kRouteAddress;
     packet.opens = true;
     harness.node.onPacket(packet);
--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -125,13 +125,13 @@
   }
 
   void forwardPacket(const Backend&, CompactToken sent) override { token = sent; }
-  void resetCaller(const FlowPacket&) override {}
+  void resetClient(const FlowPacket&) override {}
   Reason placementBlockedBy() const override { return Reason::None; }
   void onNewerConfigurationSeen(ConfigVersion) override {}
   void onBackendDraining(BackendId) override {}
   bool viewIsFresh() const override { return true; }
-  bool backendsAreSettled() const override { return true; }
-  bool resetsDeadFlows() const override { return true; }
+  bool backendListIsComplete() const override { return true; }
+  bool resetsFlowsOfDeadBackends() const override { return true; }
   ViewStamp viewStamp() const override { return {}; }
   void onHandshake(Duration) override {}
   void onRequest(BackendId) override {}
@@ -139,7 +139,7 @@
 
   FlowPacket opening(Endpoint service = kServiceAddress) {
     FlowPacket packet;
-    packet.caller = {kCaller.address + next / 50000, static_cast<std::uint16_t>(next % 50000)};
+    packet.client = {kCaller.address + next / 50000, static_cast<std::uint16_t>(next % 50000)};
     packet.service = service;
     packet.opens = true;
     ++next;
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -133,7 +133,7 @@
   return isComplete() && follower_.isFresh();
 }
 
-bool PacketNode::backendsAreSettled() const {
+bool PacketNode::backendListIsComplete() const {
   return follower_.unsettledFor() == Duration::zero();
 }
 
@@ -141,8 +141,8 @@
   return {follower_.revision(), follower_.age()};
 }
 
-std::optional<DeathEvidence> PacketNode::deathByOthers(BackendId backend,
-                                                       std::uint16_t repetitions) const {
+std::optional<DeathEvidence> PacketNode::peerDeathEvidence(BackendId backend,
+                                                           std::uint16_t repetitions) const {
   return settings_.uses.share_evidence ? evidence_.deathOf(backend, repetitions) : std::nullopt;
 }
 
@@ -283,7 +283,7 @@
   if (registry_.onZoneBackInService(item.key, item.revision)) {
     return;
   }
-  if (backendsAreSettled()) {
+  if (backendListIsComplete()) {
     registry_.onServerGone(item.key, item.revision);
     return;
   }
@@ -298,7 +298,7 @@
   retirement_pending_ = true;
   scheduler_.callAfter(follower_.unsettledFor(), [this] {
     retirement_pending_ = false;
-    if (!backendsAreSettled()) {
+    if (!backendListIsComplete()) {
       scheduleRetirement();
     } else if (registry_.retireMissing()) {
       applySoon();
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -170,11 +170,11 @@
   void onNewerConfigurationSeen(ConfigVersion) override {}
   void onBackendDraining(BackendId) override {}
   bool viewIsFresh() const override;
-  bool backendsAreSettled() const override;
-  bool resetsDeadFlows() const override { return settings_.uses.reset_dead; }
-  bool asksOthers() const override { return settings_.uses.share_evidence; }
-  std::optional<DeathEvidence> deathByOthers(BackendId backend,
-                                             std::uint16_t repetitions) const override;
+  bool backendListIsComplete() const override;
+  bool resetsFlowsOfDeadBackends() const override { return settings_.uses.reset_dead; }
+  bool requiresPeerEvidence() const override { return settings_.uses.share_evidence; }
+  std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
+                                                 std::uint16_t repetitions) const override;
   ViewStamp viewStamp() const override;
   void onHandshake(Duration duration) override;
   void onRequest(BackendId backend) override;
--- a/src/discovery/backend_registry.cc
+++ b/src/discovery/backend_registry.cc
@@ -192,7 +192,7 @@
   const std::vector<const std::string*> keys = keys_by_id_[id];
   for (const std::string* key : keys) {
     Server& server = servers_.at(*key);
-    const BackendId second = secondBackendIdOfServer(server.record.server_id);
+    const BackendId second = fallbackBackendIdOfServer(server.record.server_id);
     const bool may_move = key != oldest && server.id != second;
     if (may_move && !keys_by_id_.contains(second)) {
       reportClash(server, servers_.at(*oldest), "goes by its second id");
--- a/src/flow/compact_token.cc
+++ b/src/flow/compact_token.cc
@@ -27,10 +27,10 @@
   return BackendId(token.value ^ mask(flow));
 }
 
-FlowId flowIdOf(Endpoint caller, Endpoint service) {
+FlowId flowIdOf(Endpoint client, Endpoint service) {
   FlowId flow;
-  flow.high = (static_cast<std::uint64_t>(caller.address) << 32) | service.address;
-  flow.low = (static_cast<std::uint64_t>(caller.port) << 16) | service.port;
+  flow.high = (static_cast<std::uint64_t>(client.address) << 32) | service.address;
+  flow.low = (static_cast<std::uint64_t>(client.port) << 16) | service.port;
   return flow;
 }
 
@@ -38,10 +38,10 @@
   return BackendId(static_cast<std::uint32_t>(XXH3_64bits(&server_id, sizeof(server_id))));
 }
 
-BackendId secondBackendIdOfServer(std::uint64_t server_id) {
-  constexpr std::uint64_t kSecondFold = 2;
-  return BackendId(
-      static_cast<std::uint32_t>(XXH3_64bits_withSeed(&server_id, sizeof(server_id), kSecondFold)));
+BackendId fallbackBackendIdOfServer(std::uint64_t server_id) {
+  constexpr std::uint64_t kFallbackSeed = 2;
+  return BackendId(static_cast<std::uint32_t>(
+      XXH3_64bits_withSeed(&server_id, sizeof(server_id), kFallbackSeed)));
 }
 
 }  // namespace lugfork
--- a/src/flow/compact_token.h
+++ b/src/flow/compact_token.h
@@ -43,12 +43,12 @@
 };
 
 /** @return the identifier of a flow that is known by its two ends. */
-FlowId flowIdOf(Endpoint caller, Endpoint service);
+FlowId flowIdOf(Endpoint client, Endpoint service);
 
 /** @return the id under which a server goes into tokens (64 bits folded to 32). */
 BackendId backendIdOfServer(std::uint64_t server_id);
 
 /** @return the id of a server in tokens where another server has the first one already. */
-BackendId secondBackendIdOfServer(std::uint64_t server_id);
+BackendId fallbackBackendIdOfServer(std::uint64_t server_id);
 
 }  // namespace lugfork
--- a/src/flow/flow_decider.cc
+++ b/src/flow/flow_decider.cc
@@ -37,7 +37,7 @@
   if (service == nullptr) {
     return PlacementRefusal{Reason::NoBackendInAllowedZones, settings_.retry_after};
   }
-  const bool is_rejected = admission_ != nullptr && !opening.is_copy &&
+  const bool is_rejected = admission_ != nullptr && !opening.is_retransmission &&
                            !admission_->admits(*service, route->request_class, opening.flow);
   if (is_rejected) {
     return PlacementRefusal{Reason::Overloaded, settings_.retry_after, true};
@@ -92,7 +92,7 @@
   if (backend == nullptr) {
     return DropDecision{DropCause::UnknownBackend};
   }
-  if (backend->retired && addressIsTaken(backend->address)) {
+  if (backend->retired && isAddressReused(backend->address)) {
     return ResetDecision{Reason::BackendGone};
   }
   return ForwardDecision{backend->address, backend->id, backend->service, ForwardMode::MayStart};
@@ -118,29 +118,29 @@
   }
   const Backend* declared = configuration_->backend(placement.backend);
   if (declared != nullptr) {
-    const bool same_place = declared->service == placement.service &&
-                            declared->zone == placement.zone &&
-                            declared->address == placement.backend_address;
-    if (!same_place) {
+    const bool same_location = declared->service == placement.service &&
+                               declared->zone == placement.zone &&
+                               declared->address == placement.backend_address;
+    if (!same_location) {
       return Reason::BackendGone;
     }
     return declared->address;
   }
   // Not declared here, or no longer: established flows go on unless another back end has the
   // address now. The back end itself checks its id as well.
-  if (addressIsTaken(placement.backend_address)) {
+  if (isAddressReused(placement.backend_address)) {
     return Reason::BackendGone;
   }
   return placement.backend_address;
 }
 
-bool FlowDecider::addressIsTaken(Endpoint address) const {
+bool FlowDecider::isAddressReused(Endpoint address) const {
   return configuration_->backendAt(address) != nullptr;
 }
 
 ForwardMode FlowDecider::forwardModeOf(const Placement& placement) const {
   const Duration age = time_source_.systemTime() - placement.placed_at;
-  return age <= settings_.placement_lifetime ? ForwardMode::MayStart : ForwardMode::ContinueOnly;
+  return age <= settings_.placement_ttl ? ForwardMode::MayStart : ForwardMode::ContinueOnly;
 }
 
 }  // namespace lugfork
--- a/src/flow/flow_decider.h
+++ b/src/flow/flow_decider.h
@@ -32,7 +32,7 @@
 /** Tunables of flow decisions. */
 struct FlowDeciderSettings {
   /** Time after a placement in which its token may start work. */
-  Duration placement_lifetime = seconds(3);
+  Duration placement_ttl = seconds(3);
   /** Time that callers are told to wait when this node can't place. */
   Duration retry_after = seconds(1);
 };
@@ -44,7 +44,7 @@
   /** Back end that did not answer an earlier copy of the opening; unset for none. */
   BackendId excluded;
   /** A copy may belong to a flow that a server has already taken: admission is not asked. */
-  bool is_copy = false;
+  bool is_retransmission = false;
 };
 
 /** Where a new flow goes. Both pointers live as long as the configuration in force. */
@@ -59,14 +59,14 @@
 };
 
 /** Token of either form, as a message of an open flow carries it. */
-using CarriedToken = std::variant<SealedToken, CompactToken>;
+using AnyToken = std::variant<SealedToken, CompactToken>;
 
 /** Any message of a flow but its opening; those that close a flow are treated like the others. */
 struct FlowContinuation {
   FlowKey key;
   /** Service address that the message was sent to. */
   Endpoint service;
-  CarriedToken token;
+  AnyToken token;
 };
 
 /** The message goes on to the back end. */
@@ -136,7 +136,7 @@
                                           Endpoint addressed_service) const;
 
   /** @return true where another back end has the address now. */
-  bool addressIsTaken(Endpoint address) const;
+  bool isAddressReused(Endpoint address) const;
   ForwardMode forwardModeOf(const Placement& placement) const;
 
   const FlowDeciderSettings settings_;
--- a/src/flow/flow_packet.h
+++ b/src/flow/flow_packet.h
@@ -9,7 +9,7 @@
 
 /** What a packet from a caller tells about its flow; its content stays with the two ends. */
 struct FlowPacket {
-  Endpoint caller;
+  Endpoint client;
   Endpoint service;
   /** Asks for a new flow. */
   bool opens = false;
@@ -24,9 +24,9 @@
   std::uint32_t acknowledged = 0;
   std::uint16_t payload_bytes = 0;
   /** An opening that has waited here for so long that a copy of it may be at a server already. */
-  bool may_be_open = false;
+  bool may_be_accepted = false;
 
-  FlowId flow() const { return flowIdOf(caller, service); }
+  FlowId flow() const { return flowIdOf(client, service); }
 };
 
 /** Sends what a PacketRouter decides. */
@@ -38,7 +38,7 @@
   virtual void forwardPacket(const Backend& backend, CompactToken token) = 0;
 
   /** Tells the caller of the packet that its flow is over or was not opened. */
-  virtual void resetCaller(const FlowPacket& packet) = 0;
+  virtual void resetClient(const FlowPacket& packet) = 0;
 };
 
 }  // namespace lugfork
--- a/src/flow/flow_router.cc
+++ b/src/flow/flow_router.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** Refusals after which another back end may take the request at once. */
-bool mayPlaceAgainAfter(Reason reason) {
+bool mayRetryAfter(Reason reason) {
   return reason == Reason::Overloaded || reason == Reason::Draining ||
          reason == Reason::PlacementExpired;
 }
@@ -42,7 +42,7 @@
   } else if (const auto* refusal = std::get_if<BackendRefusal>(&decoded.value())) {
     onBackendRefusal(*refusal, from);
   } else {
-    onCallerDatagram(decoded.value(), bytes, from);
+    onClientDatagram(decoded.value(), bytes, from);
   }
 }
 
@@ -52,45 +52,45 @@
     ++counters_.drops_by_codec_error[static_cast<std::size_t>(decoded.error())];
     return;
   }
-  onCallerDatagram(decoded.value(), sprayed.datagram, sprayed.caller);
+  onClientDatagram(decoded.value(), sprayed.datagram, sprayed.caller);
 }
 
-void FlowRouter::onCallerDatagram(const Datagram& datagram, std::span<const std::uint8_t> bytes,
-                                  Endpoint caller) {
+void FlowRouter::onClientDatagram(const Datagram& datagram, std::span<const std::uint8_t> bytes,
+                                  Endpoint client) {
   if (const auto* open = std::get_if<Open>(&datagram)) {
-    onOpen(*open, caller);
+    onOpen(*open, client);
   } else if (const auto* data = std::get_if<Data>(&datagram)) {
-    relay(*data, bytes, caller);
+    forwardDatagram(*data, bytes, client);
   } else if (const auto* ack = std::get_if<AnswerAck>(&datagram)) {
-    relay(*ack, bytes, caller);
+    forwardDatagram(*ack, bytes, client);
   } else if (const auto* cancel = std::get_if<Cancel>(&datagram)) {
-    relay(*cancel, bytes, caller);
+    forwardDatagram(*cancel, bytes, client);
   } else {
     ++counters_.drops_unexpected_type;
   }
 }
 
-void FlowRouter::onOpen(const Open& open, Endpoint caller) {
+void FlowRouter::onOpen(const Open& open, Endpoint client) {
   const auto decision = decider_.decideOpening({open.key.flow, open.service, BackendId()});
   if (!decision) {
-    refuseOpen(caller, open.key, decision.error().reason, decision.error().retry_after);
+    rejectOpen(client, open.key, decision.error().reason, decision.error().retry_after);
     return;
   }
   const auto& [service, backend] = decision.value();
   ++counters_.placements;
   retryBudgetOf(service->id).onFirstTry();
-  sender_.sendDatagram(caller, Placed{open.key, sealPlacement(open.key, *service, *backend)});
+  sender_.sendDatagram(client, Placed{open.key, sealPlacement(open.key, *service, *backend)});
 }
 
-void FlowRouter::noteProgress(const AnswerAck& ack, BackendId backend) {
+void FlowRouter::recordProgress(const AnswerAck& ack, BackendId backend) {
   if (ack.next_expected > 0) {
     placement_.onBackendProgress(backend);
   }
 }
 
 template <typename TokenDatagram>
-void FlowRouter::relay(const TokenDatagram& datagram, std::span<const std::uint8_t> bytes,
-                       Endpoint caller) {
+void FlowRouter::forwardDatagram(const TokenDatagram& datagram, std::span<const std::uint8_t> bytes,
+                                 Endpoint client) {
   const ContinuationDecision decision =
       decider_.decideContinuation({datagram.key, datagram.service, SealedToken{datagram.token}});
   if (std::holds_alternative<DropDecision>(decision)) {
@@ -98,14 +98,14 @@
     return;
   }
   if (const auto* refused = std::get_if<ResetDecision>(&decision)) {
-    reset(caller, datagram.key, refused->reason);
+    reset(client, datagram.key, refused->reason);
     return;
   }
   const auto& forward = std::get<ForwardDecision>(decision);
-  noteProgress(datagram, forward.backend);
+  recordProgress(datagram, forward.backend);
   ++(forward.mode == ForwardMode::MayStart ? counters_.forwards : counters_.forwards_continue_only);
   sender_.sendDatagram(forward.destination,
-                       Forward{caller, forward.backend, forward.service, forward.mode,
+                       Forward{client, forward.backend, forward.service, forward.mode,
                                Bytes(bytes.begin(), bytes.end())});
 }
 
@@ -118,12 +118,12 @@
       ++counters_.drops_unverified_refusal;
       return;
     }
-    learnFromRefusal(refusal, *backend);
+    recordRefusal(refusal, *backend);
   }
-  relayRefusal(refusal);
+  forwardRefusal(refusal);
 }
 
-void FlowRouter::learnFromRefusal(const BackendRefusal& refusal, const Backend& backend) {
+void FlowRouter::recordRefusal(const BackendRefusal& refusal, const Backend& backend) {
   placement_.onBackendRefusal(backend, refusal.key, refusal.reason);
   if (refusal.reason == Reason::Draining) {
     loads_.onDrainingSeen(refusal.backend);
@@ -133,7 +133,7 @@
   }
 }
 
-void FlowRouter::relayRefusal(const BackendRefusal& refusal) {
+void FlowRouter::forwardRefusal(const BackendRefusal& refusal) {
   if (!refusal.not_run) {
     reset(refusal.caller, refusal.key, refusal.reason);
     return;
@@ -142,15 +142,15 @@
   const Service* service = decider_.configuration() == nullptr
                                ? nullptr
                                : decider_.configuration()->service(refusal.service);
-  if (service != nullptr && mayPlaceAgainAfter(refusal.reason)) {
-    replacement = placeAgain(refusal, *service);
+  if (service != nullptr && mayRetryAfter(refusal.reason)) {
+    replacement = placeRetry(refusal, *service);
   }
   ++counters_.refusals_by_reason[static_cast<std::size_t>(refusal.reason)];
   sender_.sendDatagram(refusal.caller, Refused{refusal.key, refusal.reason, refusal.retry_after_ms,
                                                std::move(replacement), RefusalScope::Attempt});
 }
 
-TokenBytes FlowRouter::placeAgain(const BackendRefusal& refusal, const Service& service) {
+TokenBytes FlowRouter::placeRetry(const BackendRefusal& refusal, const Service& service) {
   const bool attempts_left = refusal.key.attempt < std::numeric_limits<std::uint8_t>::max();
   if (!attempts_left || host_.placementBlockedBy() != Reason::None) {
     return {};
@@ -193,16 +193,16 @@
   return sealToken(placement, *decider_.configuration()->sealingKey());
 }
 
-void FlowRouter::refuseOpen(Endpoint caller, const FlowKey& key, Reason reason,
+void FlowRouter::rejectOpen(Endpoint client, const FlowKey& key, Reason reason,
                             Duration retry_after) {
   ++counters_.refusals_by_reason[static_cast<std::size_t>(reason)];
-  sender_.sendDatagram(caller, Refused{key, reason, toWireMilliseconds(retry_after), TokenBytes(),
+  sender_.sendDatagram(client, Refused{key, reason, toWireMilliseconds(retry_after), TokenBytes(),
                                        RefusalScope::Placement});
 }
 
-void FlowRouter::reset(Endpoint caller, const FlowKey& key, Reason reason) {
+void FlowRouter::reset(Endpoint client, const FlowKey& key, Reason reason) {
   ++counters_.resets_by_reason[static_cast<std::size_t>(reason)];
-  sender_.sendDatagram(caller, Reset{key, reason, toWireMilliseconds(settings_.retry_after)});
+  sender_.sendDatagram(client, Reset{key, reason, toWireMilliseconds(settings_.retry_after)});
 }
 
 }  // namespace lugfork
--- a/src/flow/flow_router.h
+++ b/src/flow/flow_router.h
@@ -47,41 +47,42 @@
 
  private:
   void onSprayed(const Sprayed& sprayed);
-  void onCallerDatagram(const Datagram& datagram, std::span<const std::uint8_t> bytes,
-                        Endpoint caller);
-  void onOpen(const Open& open, Endpoint caller);
+  void onClientDatagram(const Datagram& datagram, std::span<const std::uint8_t> bytes,
+                        Endpoint client);
+  void onOpen(const Open& open, Endpoint client);
   /** Drops a refusal that names a declared back end but does not come from its address. */
   void onBackendRefusal(const BackendRefusal& refusal, Endpoint from);
 
   /** Updates the view of the back end; only for refusals that come from its own address. */
-  void learnFromRefusal(const BackendRefusal& refusal, const Backend& backend);
+  void recordRefusal(const BackendRefusal& refusal, const Backend& backend);
 
   /** Gives the caller its final answer at once, with a new placement where there is one. */
-  void relayRefusal(const BackendRefusal& refusal);
+  void forwardRefusal(const BackendRefusal& refusal);
 
   /** Handles any datagram that carries a token; forwards the bytes as they are. */
   template <typename TokenDatagram>
-  void relay(const TokenDatagram& datagram, std::span<const std::uint8_t> bytes, Endpoint caller);
+  void forwardDatagram(const TokenDatagram& datagram, std::span<const std::uint8_t> bytes,
+                       Endpoint client);
 
   /** Learns from a confirmed piece of an answer that the back end works. */
-  void noteProgress(const AnswerAck& ack, BackendId backend);
+  void recordProgress(const AnswerAck& ack, BackendId backend);
   template <typename Other>
-  void noteProgress(const Other&, BackendId) {}
+  void recordProgress(const Other&, BackendId) {}
 
   RetryBudget& retryBudgetOf(ServiceId service);
 
   /** @return a token for the next attempt, the same for copies of one refusal; or nothing. */
-  TokenBytes placeAgain(const BackendRefusal& refusal, const Service& service);
+  TokenBytes placeRetry(const BackendRefusal& refusal, const Service& service);
   TokenBytes sealPlacement(const FlowKey& key, const Service& service, const Backend& backend);
-  void refuseOpen(Endpoint caller, const FlowKey& key, Reason reason, Duration retry_after);
-  void reset(Endpoint caller, const FlowKey& key, Reason reason);
+  void rejectOpen(Endpoint client, const FlowKey& key, Reason reason, Duration retry_after);
+  void reset(Endpoint client, const FlowKey& key, Reason reason);
 
   /** Every piece of a refused attempt is refused again; the copies get the same answer. */
   struct RecentReplacement {
     FlowKey refused;
     TokenBytes token;
   };
-  static constexpr std::size_t kRecentReplacements = 256;
+  static constexpr std::size_t kRecentReplacementCount = 256;
 
   const FlowRouterSettings settings_;
   const TimeSource& time_source_;
@@ -92,7 +93,7 @@
   FlowDecider decider_;
   FlowCounters counters_;
   std::unordered_map<ServiceId, RetryBudget> retry_budgets_;
-  std::array<RecentReplacement, kRecentReplacements> recent_replacements_;
+  std::array<RecentReplacement, kRecentReplacementCount> recent_replacements_;
 };
 
 }  // namespace lugfork
--- a/src/flow/packet_codec.h
+++ b/src/flow/packet_codec.h
@@ -16,8 +16,8 @@
   WrongLength,
   UnknownFlags,
   /** Flags that no caller sends together. */
-  NotFromCaller,
-  Last = NotFromCaller,
+  NotFromClient,
+  Last = NotFromClient,
 };
 
 inline constexpr std::size_t kPacketErrorCount = static_cast<std::size_t>(PacketError::Last) + 1;
@@ -31,7 +31,7 @@
       return "wrong_length";
     case PacketError::UnknownFlags:
       return "unknown_flags";
-    case PacketError::NotFromCaller:
+    case PacketError::NotFromClient:
       return "not_from_caller";
   }
   return "unknown";
--- a/src/flow/packet_router.cc
+++ b/src/flow/packet_router.cc
@@ -22,16 +22,17 @@
 }
 
 void PacketRouter::onOpening(const FlowPacket& packet) {
-  const BackendId silent = silentChoice(packet);
-  const bool is_copy = packet.acknowledged > 0 || packet.may_be_open;
-  const auto decision = decider_.decideOpening({packet.flow(), packet.service, silent, is_copy});
+  const BackendId unresponsive = unresponsiveBackend(packet);
+  const bool is_retransmission = packet.acknowledged > 0 || packet.may_be_accepted;
+  const auto decision =
+      decider_.decideOpening({packet.flow(), packet.service, unresponsive, is_retransmission});
   if (!decision) {
-    refuseOpening(packet, decision.error());
+    rejectOpening(packet, decision.error());
     return;
   }
   const Backend& backend = *decision.value().backend;
   ++counters_.openings;
-  counters_.reopenings += silent == BackendId() ? 0 : 1;
+  counters_.reopenings += unresponsive == BackendId() ? 0 : 1;
   const std::size_t in_flight = observer_.requestsInFlight().count(backend.id);
   observer_.onPlaced(packet, backend.id);
   silence_.onOpening(backend.id);
@@ -48,12 +49,12 @@
               {"backend_id", backend.id.value()},
               {"service", decision.value().service->name},
               {"in_flight", static_cast<std::uint64_t>(in_flight)},
-              {"passed_over", silent == BackendId() ? 0U : silent.value()},
+              {"passed_over", unresponsive == BackendId() ? 0U : unresponsive.value()},
               {"revision", view.revision},
               {"view_age_ms", toMilliseconds(view.age)}});
 }
 
-BackendId PacketRouter::silentChoice(const FlowPacket& packet) {
+BackendId PacketRouter::unresponsiveBackend(const FlowPacket& packet) {
   const ObservedFlow* earlier = observer_.find(packet.flow());
   if (packet.acknowledged == 0 || (earlier != nullptr && earlier->open)) {
     return BackendId();
@@ -67,16 +68,16 @@
   return first ? first.value().backend->id : BackendId();
 }
 
-bool PacketRouter::isCertain(Reason reason) const {
-  if (reason == Reason::NoBackendInAllowedZones && !host_.backendsAreSettled()) {
+bool PacketRouter::isAuthoritative(Reason reason) const {
+  if (reason == Reason::NoBackendInAllowedZones && !host_.backendListIsComplete()) {
     return false;
   }
   return (reason == Reason::UnknownService || reason == Reason::NoBackendInAllowedZones) &&
          host_.viewIsFresh();
 }
 
-void PacketRouter::refuseOpening(const FlowPacket& packet, const PlacementRefusal& refusal) {
-  if (refusal.is_final || isCertain(refusal.reason)) {
+void PacketRouter::rejectOpening(const FlowPacket& packet, const PlacementRefusal& refusal) {
+  if (refusal.is_final || isAuthoritative(refusal.reason)) {
     reset(packet, refusal.reason);
     return;
   }
@@ -118,8 +119,8 @@
 
 void PacketRouter::onForward(const FlowPacket& packet, const ForwardDecision& forward) {
   const Backend& backend = *decider_.configuration()->backend(forward.backend);
-  const FlowObservation observation = learn(packet, backend.id);
-  if (isSurelyGone(packet, backend, observation)) {
+  const FlowObservation observation = observe(packet, backend.id);
+  if (isDead(packet, backend, observation)) {
     reset(packet, Reason::BackendGone);
     observer_.forget(packet.flow());
     return;
@@ -131,7 +132,7 @@
   }
 }
 
-FlowObservation PacketRouter::learn(const FlowPacket& packet, BackendId backend) {
+FlowObservation PacketRouter::observe(const FlowPacket& packet, BackendId backend) {
   const FlowObservation observation = observer_.onContinuation(packet, backend);
   if (observation.handshake > Duration::zero()) {
     host_.onHandshake(observation.handshake);
@@ -150,30 +151,30 @@
   return observation;
 }
 
-bool PacketRouter::isSurelyGone(const FlowPacket& packet, const Backend& backend,
-                                const FlowObservation& observation) {
-  if (observation.evidence != FlowEvidence::Silence || !host_.resetsDeadFlows()) {
+bool PacketRouter::isDead(const FlowPacket& packet, const Backend& backend,
+                          const FlowObservation& observation) {
+  if (observation.evidence != FlowEvidence::Silence || !host_.resetsFlowsOfDeadBackends()) {
     return false;
   }
-  const bool is_gone_by_self = !host_.asksOthers() &&
+  const bool is_dead_locally = !host_.requiresPeerEvidence() &&
                                observation.repetitions >= silence_.repetitionsOfDead() &&
                                silence_.isDead(backend.id);
-  return is_gone_by_self || isGoneByOthers(packet, backend, observation.repetitions);
+  return is_dead_locally || isDeadByPeerEvidence(packet, backend, observation.repetitions);
 }
 
-bool PacketRouter::isGoneByOthers(const FlowPacket& packet, const Backend& backend,
-                                  std::uint16_t repetitions) {
-  const auto evidence = host_.deathByOthers(backend.id, repetitions);
+bool PacketRouter::isDeadByPeerEvidence(const FlowPacket& packet, const Backend& backend,
+                                        std::uint16_t retransmissions) {
+  const auto evidence = host_.peerDeathEvidence(backend.id, retransmissions);
   if (!evidence) {
     return false;
   }
-  ++counters_.resets_by_others;
+  ++counters_.resets_by_peer_evidence;
   log_.write(LogLevel::Info, "flow", "backend_dead_by_others",
              {{"flow", flowName(packet)},
               {"backend", backend.name},
               {"backend_id", backend.id.value()},
               {"scope", evidence->is_whole_zone ? "zone" : "server"},
-              {"repetitions", std::uint32_t{repetitions}},
+              {"repetitions", std::uint32_t{retransmissions}},
               {"reporters", static_cast<std::uint64_t>(evidence->reporters)},
               {"silent_flows", static_cast<std::uint64_t>(evidence->flows)},
               {"silent_ms", toMilliseconds(evidence->silent_for)}});
@@ -185,7 +186,7 @@
     return;
   }
   ++counters_.resets_by_reason[static_cast<std::size_t>(reason)];
-  sender_.resetCaller(packet);
+  sender_.resetClient(packet);
   if (!log_.wouldWrite(LogLevel::Info, "flow", "flow_reset")) {
     return;
   }
@@ -201,7 +202,7 @@
 }
 
 std::string flowName(const FlowPacket& packet) {
-  return toString(packet.caller) + ">" + toString(packet.service);
+  return toString(packet.client) + ">" + toString(packet.service);
 }
 
 }  // namespace lugfork
--- a/src/flow/packet_router.h
+++ b/src/flow/packet_router.h
@@ -24,7 +24,7 @@
   std::uint64_t drops_not_certain = 0;
   std::array<std::uint64_t, kReasonCount> resets_by_reason{};
   /** Open flows reset by what others have seen of their back ends. */
-  std::uint64_t resets_by_others = 0;
+  std::uint64_t resets_by_peer_evidence = 0;
 };
 
 /** Which state of the platform a decision was made by. */
@@ -42,20 +42,20 @@
 
   /** @return false where back ends may be missing from what is known, since the platform was away.
    */
-  virtual bool backendsAreSettled() const = 0;
+  virtual bool backendListIsComplete() const = 0;
 
   /** @return true where open flows of a back end that is surely dead are to be reset. */
-  virtual bool resetsDeadFlows() const = 0;
+  virtual bool resetsFlowsOfDeadBackends() const = 0;
 
   /** @return true where open flows are reset only by what several balancers have seen. */
-  virtual bool asksOthers() const { return false; }
+  virtual bool requiresPeerEvidence() const { return false; }
 
   /**
    * @param repetitions of a flow of the back end since its last progress.
    * @return why the back end is surely dead by what others have seen, or nothing.
    */
-  virtual std::optional<DeathEvidence> deathByOthers(BackendId /*backend*/,
-                                                     std::uint16_t /*repetitions*/) const {
+  virtual std::optional<DeathEvidence> peerDeathEvidence(BackendId /*backend*/,
+                                                         std::uint16_t /*retransmissions*/) const {
     return std::nullopt;
   }
 
@@ -95,23 +95,23 @@
   void onForward(const FlowPacket& packet, const ForwardDecision& forward);
 
   /** @return the back end that got an earlier copy of the opening and did not answer, or none. */
-  BackendId silentChoice(const FlowPacket& packet);
+  BackendId unresponsiveBackend(const FlowPacket& packet);
   /** @return true where a refusal for that reason would be the same at every node. */
-  bool isCertain(Reason reason) const;
-  void refuseOpening(const FlowPacket& packet, const PlacementRefusal& refusal);
+  bool isAuthoritative(Reason reason) const;
+  void rejectOpening(const FlowPacket& packet, const PlacementRefusal& refusal);
   void reset(const FlowPacket& packet, Reason reason);
   /** @return what the packet shows. */
-  FlowObservation learn(const FlowPacket& packet, BackendId backend);
+  FlowObservation observe(const FlowPacket& packet, BackendId backend);
 
   /**
    * @param observation of the packet: only a flow that repeats itself is reset, since one that goes
    * on may be answered by way of another balancer.
    * @return true where the back end of an open flow surely does not answer any more.
    */
-  bool isSurelyGone(const FlowPacket& packet, const Backend& backend,
-                    const FlowObservation& observation);
+  bool isDead(const FlowPacket& packet, const Backend& backend, const FlowObservation& observation);
   /** The same by what others have seen, which is logged. */
-  bool isGoneByOthers(const FlowPacket& packet, const Backend& backend, std::uint16_t repetitions);
+  bool isDeadByPeerEvidence(const FlowPacket& packet, const Backend& backend,
+                            std::uint16_t retransmissions);
 
   FlowDecider& decider_;
   SilenceDetector& silence_;
--- a/src/flow/policy/bounded_rendezvous_policy.cc
+++ b/src/flow/policy/bounded_rendezvous_policy.cc
@@ -12,29 +12,29 @@
 namespace {
 
 /** Highest load of a candidate, as a multiple of the mean. */
-constexpr double kLoadBound = 1.25;
+constexpr double kMaxLoadRatio = 1.25;
 
 /** Part by which rounding may move a score: far more than the last digits of a double. */
 constexpr double kRoundingMargin = 1 + 1e-9;
 
 /** @return the candidate's own number for the flow, evenly spread over (0, 1). */
-double unitOf(const FlowId& flow, BackendId backend) {
+double uniformHash(const FlowId& flow, BackendId backend) {
   const std::uint64_t content[] = {flow.high, flow.low, backend.value()};
   const std::uint64_t hash = XXH3_64bits(content, sizeof(content));
   return (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
 }
 
 /** @return the rendezvous score; the highest wins, in proportion to the weight. */
-double score(double unit, double weight) {
-  return -weight / std::log(unit);
+double score(double uniform, double weight) {
+  return -weight / std::log(uniform);
 }
 
 /**
  * @return true where the score is surely no higher than the best so far. Since log(unit) is at most
  * unit - 1, no logarithm is needed to see that of nearly all candidates.
  */
-bool isSurelyLower(double unit, double weight, double best_score) {
-  return weight * kRoundingMargin <= best_score * (1 - unit);
+bool cannotExceed(double uniform, double weight, double best_score) {
+  return weight * kRoundingMargin <= best_score * (1 - uniform);
 }
 
 double meanLoad(const CandidateSet& candidates) {
@@ -55,7 +55,7 @@
   const auto is_within_bound = [&](std::size_t index) {
     const double load = candidates.estimatedLoad(index);
     if (load > 0 && !bound) {
-      bound = kLoadBound * meanLoad(candidates);
+      bound = kMaxLoadRatio * meanLoad(candidates);
     }
     return load <= 0 || load <= *bound;
   };
@@ -63,11 +63,11 @@
   double best_score = -1;
   for (std::size_t index = 0; index < candidates.size(); ++index) {
     const double weight = candidates.weight(index);
-    const double unit = unitOf(flow, candidates.backend(index).id);
-    if (isSurelyLower(unit, weight, best_score)) {
+    const double uniform = uniformHash(flow, candidates.backend(index).id);
+    if (cannotExceed(uniform, weight, best_score)) {
       continue;
     }
-    const double candidate_score = score(unit, weight);
+    const double candidate_score = score(uniform, weight);
     if (candidate_score > best_score && is_within_bound(index)) {
       best = index;
       best_score = candidate_score;
--- a/src/flow/policy/round_robin_of_two_policy.cc
+++ b/src/flow/policy/round_robin_of_two_policy.cc
@@ -5,7 +5,7 @@
 namespace {
 
 /** Smallest difference of the load over capacity that is more than noise of the reports. */
-constexpr double kClearDifference = 0.5;
+constexpr double kMinLoadDifference = 0.5;
 
 }  // namespace
 
@@ -15,10 +15,11 @@
     next_ = random.below(candidates.size());
     started_ = true;
   }
-  const std::size_t in_turn = next_++ % candidates.size();
-  const std::size_t other = random.below(candidates.size());
-  const double difference = candidates.estimatedLoad(in_turn) - candidates.estimatedLoad(other);
-  return difference > kClearDifference ? other : in_turn;
+  const std::size_t next_in_turn = next_++ % candidates.size();
+  const std::size_t random_candidate = random.below(candidates.size());
+  const double difference =
+      candidates.estimatedLoad(next_in_turn) - candidates.estimatedLoad(random_candidate);
+  return difference > kMinLoadDifference ? random_candidate : next_in_turn;
 }
 
 }  // namespace lugfork
--- a/src/programs/lugforkd.cc
+++ b/src/programs/lugforkd.cc
@@ -35,8 +35,8 @@
                         "time between two reads of the platform");
   addMillisecondsOption(app, "--probe-interval", node.probes.interval, milliseconds(50),
                         milliseconds(60000), "time between two probes of a back end");
-  addMillisecondsOption(app, "--placement-lifetime", node.flow.placement_lifetime,
-                        milliseconds(100), milliseconds(60000),
+  addMillisecondsOption(app, "--placement-lifetime", node.flow.placement_ttl, milliseconds(100),
+                        milliseconds(60000),
                         "time after a placement in which its token may start work");
   addMillisecondsOption(app, "--leave-minimum", settings.leave.minimum, milliseconds(0),
                         milliseconds(600000), "shortest time of relaying before a planned stop");
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -328,7 +328,7 @@
     return false;
   }
   FlowPacket packet = codec_.decode(opening->bytes).value();
-  packet.may_be_open = openings_.mayBeOpen(*opening, handled_at_);
+  packet.may_be_accepted = openings_.mayBeOpen(*opening, handled_at_);
   handle(packet, opening->bytes);
   return true;
 }
@@ -341,7 +341,7 @@
   }
   ++counters_.openings_rejected;
   const FlowPacket packet = codec_.decode(opening->bytes).value();
-  resetCaller(packet);
+  resetClient(packet);
   if (log_.wouldWrite(LogLevel::Info, "flow", "opening_rejected_behind")) {
     log_.write(LogLevel::Info, "flow", "opening_rejected_behind",
                {{"flow", flowName(packet)},
@@ -357,9 +357,9 @@
   }
 }
 
-void PacketDaemon::resetCaller(const FlowPacket& packet) {
+void PacketDaemon::resetClient(const FlowPacket& packet) {
   // Callers take packets at the port number that balancers have.
-  const Endpoint caller{packet.caller.address, settings_.packet_address.port};
+  const Endpoint caller{packet.client.address, settings_.packet_address.port};
   socket_.sendBytes(caller, codec_.encodeReset(packet));
 }
 
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -89,7 +89,7 @@
 
  private:
   void forwardPacket(const Backend& backend, CompactToken token) override;
-  void resetCaller(const FlowPacket& packet) override;
+  void resetClient(const FlowPacket& packet) override;
 
   // UpstreamListener
   void onUpstreamChanged(Upstream upstream, Endpoint balancer, std::string_view cause) override;
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -242,7 +242,7 @@
                 static_cast<double>(node.sharedEvidence().zonesOutOfReach()));
   page.addCounter("lugfork_resets_by_others_total",
                   "Open flows reset by what other balancers have seen.",
-                  node.packetCounters().resets_by_others);
+                  node.packetCounters().resets_by_peer_evidence);
 }
 
 }  // namespace
--- a/src/sim/fleet.cc
+++ b/src/sim/fleet.cc
@@ -150,7 +150,7 @@
     settings.zone = name.substr(0, name.find("-balancer-"));
     settings.peer_address = {host, kPeerPort};
     settings.placement_policy = options.placement_policy;
-    settings.flow.placement_lifetime = options.placement_lifetime;
+    settings.flow.placement_ttl = options.placement_lifetime;
     SimulatedProcess& process = addProcess(name, settings.zone);
     balancers_.push_back(std::make_unique<SimulatedNode>(settings, Endpoint{host, kDataPort},
                                                          process, network_, surroundings, log_,
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -74,7 +74,7 @@
   std::string open(std::uint16_t port) {
     forwarded.clear();
     FlowPacket packet;
-    packet.caller = {kCaller.address, port};
+    packet.client = {kClient.address, port};
     packet.service = kListen;
     packet.opens = true;
     node.onPacket(packet);
@@ -82,7 +82,7 @@
   }
 
   void forwardPacket(const Backend& backend, CompactToken) override { forwarded = backend.name; }
-  void resetCaller(const FlowPacket&) override {}
+  void resetClient(const FlowPacket&) override {}
 
   ManualTimeSource time;
   ManualScheduler scheduler{time};
--- a/tests/balancer/node_test.cc
+++ b/tests/balancer/node_test.cc
@@ -52,7 +52,7 @@
   const Bytes datagram = encodeDatagram(AnswerAck{configuration.services[0].address, placement.key,
                                                   sealToken(placement, unknown), 0});
   for (int sent = 0; sent < 200; ++sent) {
-    node.onDatagram(datagram, kStranger);
+    node.onDatagram(datagram, kUnknownEndpoint);
     time.elapsed += milliseconds(20);
     node.onTick();
   }
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -52,7 +52,7 @@
   void forwardPacket(const Backend& backend, CompactToken) override {
     forwarded.push_back(backend.name);
   }
-  void resetCaller(const FlowPacket&) override { ++resets; }
+  void resetClient(const FlowPacket&) override { ++resets; }
 
   void read(std::vector<Item> items) {
     source.answerPage(kPrefix, ItemPage{std::move(items), false, 10});
@@ -67,7 +67,7 @@
 
   void open(std::uint16_t port, Endpoint service = kListen) {
     FlowPacket packet;
-    packet.caller = {kCaller.address, port};
+    packet.client = {kClient.address, port};
     packet.service = service;
     packet.opens = true;
     node.onPacket(packet);
@@ -233,7 +233,7 @@
   CHECK(harness.forwarded == std::vector<std::string>(20, "backends/b"));
   harness.forwarded.clear();
   FlowPacket open;
-  open.caller = {kCaller.address, 5000};
+  open.client = {kClient.address, 5000};
   open.service = kListen;
   open.token =
       CompactTokenCodec(PacketNodeSettings().token_key).encode(open.flow(), backendIdOfServer('a'));
@@ -252,7 +252,7 @@
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server started 1000"),
                 item("backends/b", 4, "draining")});
   FlowPacket copy;
-  copy.caller = {kCaller.address, 5000};
+  copy.client = {kClient.address, 5000};
   copy.service = kListen;
   copy.opens = true;
   harness.node.onPacket(copy);
@@ -306,7 +306,7 @@
   harness.forwarded.clear();
   for (std::uint16_t port = 1; port <= 60; ++port) {
     FlowPacket packet;
-    packet.caller = {kCaller.address, port};
+    packet.client = {kClient.address, port};
     packet.service = kListen;
     packet.opens = true;
     harness.node.onPacket(packet);
--- a/tests/discovery/backend_registry_test.cc
+++ b/tests/discovery/backend_registry_test.cc
@@ -275,7 +275,7 @@
       const auto view = harness.upToDate();
       REQUIRE(harness.find(view, older) != nullptr);
       CHECK(harness.find(view, older)->server_id == older);
-      const Backend* second = view->backend(secondBackendIdOfServer(newer));
+      const Backend* second = view->backend(fallbackBackendIdOfServer(newer));
       REQUIRE(second != nullptr);
       CHECK(second->server_id == newer);
       CHECK(view->backendsOf(second->service).size() == fleet.size());
@@ -283,7 +283,7 @@
       harness.registry.onServerGone("backends/" + fleet[0].name, 5000);
       harness.time.elapsed += kRetiredFor + seconds(1);
       harness.registry.forgetRetired();
-      CHECK(harness.upToDate()->backend(secondBackendIdOfServer(newer))->server_id == newer);
+      CHECK(harness.upToDate()->backend(fallbackBackendIdOfServer(newer))->server_id == newer);
     }
   }
 }
--- a/tests/flow/evidence_fixture.h
+++ b/tests/flow/evidence_fixture.h
@@ -53,7 +53,7 @@
 
   /** A flow of this node's gets no answer from the server. */
   void loses(std::uint32_t server, std::uint16_t port = 1, std::uint16_t repetitions = 0) {
-    own.onRepetition(BackendId(server), flowIdOf({kCaller.address, port}, kListen), repetitions);
+    own.onRepetition(BackendId(server), flowIdOf({kClient.address, port}, kListen), repetitions);
   }
 
   void isAnswered(std::uint32_t server) { own.onLife(BackendId(server)); }
--- a/tests/flow/flow_router_test.cc
+++ b/tests/flow/flow_router_test.cc
@@ -20,7 +20,7 @@
   };
   const auto nothing = [](RouterHarness&) {};
   const Row rows[] = {
-      {"unknown service", Reason::UnknownService, kStranger, nothing},
+      {"unknown service", Reason::UnknownService, kUnknownEndpoint, nothing},
       {"node blocked", Reason::ViewNotFresh, kListen,
        [](RouterHarness& harness) { harness.blocked_by = Reason::ViewNotFresh; }},
       {"only candidate is in a zone not allowed", Reason::NoBackendInAllowedZones, kListen,
@@ -41,7 +41,7 @@
     CHECK(refused->reason == row.reason);
     CHECK(refused->retry_after_ms > 0);
     CHECK(refused->scope == RefusalScope::Placement);
-    CHECK(harness.last_destination == kCaller);
+    CHECK(harness.last_destination == kClient);
   }
 }
 
@@ -138,12 +138,12 @@
       const auto reset = harness.takeOnly<Reset>();
       REQUIRE(reset);
       CHECK(reset->reason == row.reason);
-      CHECK(harness.last_destination == kCaller);
+      CHECK(harness.last_destination == kClient);
     } else {
       const auto forward = harness.takeOnly<Forward>();
       REQUIRE(forward);
       CHECK(harness.last_destination == addressOf(forward->backend.value()));
-      CHECK(forward->caller == kCaller);
+      CHECK(forward->caller == kClient);
       CHECK(forward->service == ServiceId(1));
       CHECK(forward->mode == ForwardMode::MayStart);
       CHECK(forward->datagram == encodeDatagram(data));
@@ -176,10 +176,10 @@
   const TokenBytes token = harness.open(kKey);
   const Datagram datagrams[] = {AnswerAck{kListen, kKey, token, 3}, Cancel{kListen, kKey, token}};
   for (const Datagram& datagram : datagrams) {
-    harness.receive(Sprayed{kCaller, encodeDatagram(datagram)}, kStranger);
+    harness.receive(Sprayed{kClient, encodeDatagram(datagram)}, kUnknownEndpoint);
     const auto forward = harness.takeOnly<Forward>();
     REQUIRE(forward);
-    CHECK(forward->caller == kCaller);
+    CHECK(forward->caller == kClient);
     CHECK(forward->datagram == encodeDatagram(datagram));
   }
   harness.receive(Answer{kKey, ServiceId(1), BackendId(1), 0, true, {}});
@@ -188,7 +188,7 @@
 }
 
 BackendRefusal refusalBy(std::uint32_t backend, Reason reason, bool not_run) {
-  return {kCaller, kKey, ServiceId(1), BackendId(backend), reason, not_run, 700};
+  return {kClient, kKey, ServiceId(1), BackendId(backend), reason, not_run, 700};
 }
 
 TEST_CASE("a back end's refusal is learned from and relayed with another placement") {
@@ -207,7 +207,7 @@
     harness.receive(refusalBy(1, row.reason, true), addressOf(1));
     const auto refused = harness.takeOnly<Refused>();
     REQUIRE(refused);
-    CHECK(harness.last_destination == kCaller);
+    CHECK(harness.last_destination == kClient);
     CHECK(refused->key == kKey);
     CHECK(refused->reason == row.reason);
     CHECK(refused->retry_after_ms == 700);
@@ -234,7 +234,7 @@
 
 TEST_CASE("a refusal from an address that is not the back end's is neither believed nor relayed") {
   RouterHarness harness;
-  harness.receive(refusalBy(1, Reason::Draining, true), kStranger);
+  harness.receive(refusalBy(1, Reason::Draining, true), kUnknownEndpoint);
   CHECK(harness.sent.empty());
   CHECK_FALSE(harness.draining_seen);
   CHECK(harness.router.counters().drops_unverified_refusal == 1);
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -75,20 +75,20 @@
   void forwardPacket(const Backend& backend, CompactToken token) override {
     forward(backend.id, token);
   }
-  void resetCaller(const FlowPacket& packet) override { reset(packet); }
+  void resetClient(const FlowPacket& packet) override { reset(packet); }
   Reason placementBlockedBy() const override { return Reason::None; }
   void onNewerConfigurationSeen(ConfigVersion) override {}
   void onBackendDraining(BackendId) override {}
   bool viewIsFresh() const override { return true; }
-  bool backendsAreSettled() const override { return true; }
-  bool resetsDeadFlows() const override { return true; }
-  bool asksOthers() const override { return ways.asks_others; }
+  bool backendListIsComplete() const override { return true; }
+  bool resetsFlowsOfDeadBackends() const override { return true; }
+  bool requiresPeerEvidence() const override { return ways.asks_others; }
   ViewStamp viewStamp() const override { return {}; }
   void onHandshake(Duration) override {}
   void onRequest(BackendId) override {}
   void onResponse(BackendId, Duration, ResponseTiming) override {}
-  std::optional<DeathEvidence> deathByOthers(BackendId backend,
-                                             std::uint16_t repetitions) const override {
+  std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
+                                                 std::uint16_t repetitions) const override {
     return ways.asks_others ? shared.deathOf(backend, repetitions) : std::nullopt;
   }
 
@@ -209,7 +209,7 @@
 
   FlowPacket packetOf(const Flow& flow) const {
     FlowPacket packet;
-    packet.caller = flow.caller;
+    packet.client = flow.caller;
     packet.service = kListen;
     packet.token = flow.token;
     packet.sequence = flow.sequence;
@@ -244,7 +244,7 @@
 
   void deliver(std::size_t node, Flow& flow, const FlowPacket& packet) {
     at_hand_ = &flow;
-    caller_at_hand_ = packet.caller;
+    caller_at_hand_ = packet.client;
     asks_ = packet.opens || packet.payload_bytes > 0;
     nodes_[node]->router.onPacket(packet);
   }
@@ -275,7 +275,7 @@
     const int attempts = flow.attempt;
     flow = Flow();
     flow.attempt = attempts;
-    flow.caller = {kCaller.address, ++last_port_};
+    flow.caller = {kClient.address, ++last_port_};
     attempt(flow, kOpeningPatience, [this, &flow](std::uint32_t copy) {
       FlowPacket packet = packetOf(flow);
       packet.opens = true;
@@ -303,7 +303,7 @@
 
   void onReset(const FlowPacket& packet) {
     Flow& flow = *at_hand_;
-    if (packet.caller != flow.caller) {
+    if (packet.client != flow.caller) {
       return;
     }
     if (!packet.opens) {
@@ -378,7 +378,7 @@
         if (index == 0) {
           collector_.onOwnReport(*report);
         } else {
-          collector_.onReport(*report, {kCaller.address, index});
+          collector_.onReport(*report, {kClient.address, index});
         }
       }
     }
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -27,15 +27,15 @@
   void forwardPacket(const Backend& backend, CompactToken token) override {
     sent.push_back({backend.id, token});
   }
-  void resetCaller(const FlowPacket& packet) override { resets.push_back(packet); }
+  void resetClient(const FlowPacket& packet) override { resets.push_back(packet); }
 
   Reason placementBlockedBy() const override { return blocked_by; }
   void onNewerConfigurationSeen(ConfigVersion) override {}
   void onBackendDraining(BackendId) override {}
-  bool viewIsFresh() const override { return fresh; }
-  bool backendsAreSettled() const override { return settled; }
-  bool resetsDeadFlows() const override { return true; }
-  bool asksOthers() const override { return asks_others; }
+  bool viewIsFresh() const override { return view_is_fresh; }
+  bool backendListIsComplete() const override { return backend_list_is_complete; }
+  bool resetsFlowsOfDeadBackends() const override { return true; }
+  bool requiresPeerEvidence() const override { return requires_peer_evidence; }
   ViewStamp viewStamp() const override { return {12, milliseconds(30)}; }
   void onHandshake(Duration duration) override { handshakes.push_back(duration); }
   void onRequest(BackendId) override { ++requests; }
@@ -43,15 +43,15 @@
     responses.push_back(duration);
     timings.push_back(timing);
   }
-  std::optional<DeathEvidence> deathByOthers(BackendId backend,
-                                             std::uint16_t repetitions) const override {
-    const bool is_dead = backend == dead_by_others && repetitions >= 2;
+  std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
+                                                 std::uint16_t retransmissions) const override {
+    const bool is_dead = backend == dead_by_peer_evidence && retransmissions >= 2;
     return is_dead ? std::optional(DeathEvidence{false, 3, 4, milliseconds(700)}) : std::nullopt;
   }
 
   FlowPacket packet(std::uint16_t port, Endpoint service = kListen) const {
     FlowPacket packet;
-    packet.caller = {kCaller.address, port};
+    packet.client = {kClient.address, port};
     packet.service = service;
     packet.sequence = 1000;
     return packet;
@@ -90,10 +90,10 @@
   CompactTokenCodec tokens{CompactTokenKey{9, 9, 9}};
   PacketRouter router{decider, silence, observer, tokens, *this, *this, log};
   Reason blocked_by = Reason::None;
-  bool fresh = true;
-  bool settled = true;
-  bool asks_others = false;
-  BackendId dead_by_others;
+  bool view_is_fresh = true;
+  bool backend_list_is_complete = true;
+  bool requires_peer_evidence = false;
+  BackendId dead_by_peer_evidence;
   std::vector<Sent> sent;
   std::vector<FlowPacket> resets;
   std::vector<Duration> handshakes;
@@ -135,7 +135,7 @@
     CHECK(harness.resets.size() == 1);
   }
   SECTION("the view may be old") {
-    harness.fresh = false;
+    harness.view_is_fresh = false;
     harness.router.onPacket(opening);
     CHECK(harness.resets.empty());
     CHECK(harness.router.counters().drops_not_certain == 1);
@@ -156,10 +156,10 @@
   harness.setConfiguration(configuration);
   FlowPacket opening = harness.packet(5000);
   opening.opens = true;
-  harness.settled = false;
+  harness.backend_list_is_complete = false;
   harness.router.onPacket(opening);
   CHECK(harness.resets.empty());
-  harness.settled = true;
+  harness.backend_list_is_complete = true;
   harness.router.onPacket(opening);
   CHECK(harness.resets.size() == 1);
 }
@@ -314,7 +314,7 @@
           "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
-  harness.asks_others = true;
+  harness.requires_peer_evidence = true;
   BackendId silent;
   const auto ports = openAtOne(harness, 3, silent);
   for (const int wait_ms : {200, 400, 800}) {
@@ -324,7 +324,7 @@
     }
   }
   CHECK(harness.resets.empty());
-  harness.dead_by_others = silent;
+  harness.dead_by_peer_evidence = silent;
   harness.time.elapsed += milliseconds(400);
   harness.data(ports[0], harness.tokens.encode(harness.packet(ports[0]).flow(), silent), 1001, 1);
   CHECK(harness.resets.size() == 1);
@@ -335,7 +335,7 @@
   harness.setConfiguration(manyBackends());
   const auto opened = harness.open(5000);
   harness.data(5000, opened.token, 1001, 1);
-  harness.dead_by_others = opened.backend;
+  harness.dead_by_peer_evidence = opened.backend;
   harness.time.elapsed += milliseconds(200);
   harness.data(5000, opened.token, 1001, 1);
   harness.time.elapsed += milliseconds(400);
@@ -442,7 +442,7 @@
   harness.setConfiguration(manyBackends());
   const auto opened = harness.open(5000);
   harness.data(5000, opened.token, 1001, 1);
-  harness.dead_by_others = opened.backend;
+  harness.dead_by_peer_evidence = opened.backend;
   harness.time.elapsed += milliseconds(200);
   SECTION("one that goes on is not") {
     harness.data(5000, opened.token, 1101, 100);
@@ -458,14 +458,14 @@
     return;
   }
   SECTION("one of another back end is not") {
-    harness.dead_by_others = BackendId(opened.backend.value() % 20 + 1);
+    harness.dead_by_peer_evidence = BackendId(opened.backend.value() % 20 + 1);
     harness.data(5000, opened.token, 1001, 1);
     CHECK(harness.resets.empty());
     return;
   }
   harness.data(5000, opened.token, 1001, 1);
   CHECK(harness.resets.size() == 1);
-  CHECK(harness.router.counters().resets_by_others == 1);
+  CHECK(harness.router.counters().resets_by_peer_evidence == 1);
 }
 
 TEST_CASE("an answer is timed from the first packet of its request", "[packet_router]") {
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -13,7 +13,7 @@
 
 FlowPacket packetOf(std::uint16_t port) {
   FlowPacket packet;
-  packet.caller = {kCaller.address, port};
+  packet.client = {kClient.address, port};
   packet.service = kListen;
   packet.sequence = 1000;
   return packet;
--- a/tests/flow/router_harness.h
+++ b/tests/flow/router_harness.h
@@ -17,8 +17,8 @@
 
 inline const Endpoint kListen{0x0a140001, 443};
 inline const Endpoint kIngest{0x0a140002, 443};
-inline const Endpoint kCaller{0x7f000001, 5000};
-inline const Endpoint kStranger{0x7f000009, 6666};
+inline const Endpoint kClient{0x7f000001, 5000};
+inline const Endpoint kUnknownEndpoint{0x7f000009, 6666};
 inline const ZoneId kLac{1};
 inline const ZoneId kAriana{2};
 
@@ -79,7 +79,7 @@
   void onNewerConfigurationSeen(ConfigVersion version) override { newer_seen = version; }
   void onBackendDraining(BackendId backend) override { draining_seen = backend; }
 
-  void receive(const Datagram& datagram, Endpoint from = kCaller) {
+  void receive(const Datagram& datagram, Endpoint from = kClient) {
     router.onDatagram(encodeDatagram(datagram), from);
   }
 
--- a/tests/flow/silence_detector_test.cc
+++ b/tests/flow/silence_detector_test.cc
@@ -39,7 +39,7 @@
   }
 
   void lose(BackendId backend, std::uint16_t port, std::uint16_t repetitions) {
-    detector.onRepetition(backend, flowIdOf({kCaller.address, port}, kListen), repetitions);
+    detector.onRepetition(backend, flowIdOf({kClient.address, port}, kListen), repetitions);
   }
 
   /** Three flows repeat themselves twice, 200 and 600 ms after the last answer. */
--- a/tests/platform/packet_codec_test.cc
+++ b/tests/platform/packet_codec_test.cc
@@ -23,7 +23,7 @@
 TEST_CASE("the page's opening packet is read", "[packet_codec]") {
   const auto packet = kCodec.decode(kOpening);
   REQUIRE(packet);
-  CHECK(packet.value().caller == Endpoint{0x64400007, 40001});
+  CHECK(packet.value().client == Endpoint{0x64400007, 40001});
   CHECK(packet.value().service == Endpoint{0xc6120001, 443});
   CHECK(packet.value().opens);
   CHECK_FALSE(packet.value().closes);
@@ -94,7 +94,7 @@
   }
   SECTION("a server's answer to an opening") {
     bytes[kFlagsAt] = 4 | 2;
-    expected = PacketError::NotFromCaller;
+    expected = PacketError::NotFromClient;
   }
   const auto packet = kCodec.decode(bytes);
   REQUIRE_FALSE(packet);
