--- a/tests/flow/bounded_rendezvous_policy_test.cc
+++ b/tests/flow/bounded_rendezvous_policy_test.cc
@@ -11,25 +11,25 @@
 namespace {
 
 /** Candidates with given loads and weights; counts how often a load is asked for. */
-class GivenCandidates : public CandidateSet {
+class CandidatesFake : public CandidateSet {
  public:
-  std::size_t size() const override { return back_ends.size(); }
-  const Backend& backend(std::size_t index) const override { return back_ends[index]; }
+  std::size_t size() const override { return backends.size(); }
+  const Backend& backend(std::size_t index) const override { return backends[index]; }
   double estimatedLoad(std::size_t index) const override {
-    ++loads_asked;
+    ++load_reads;
     return loads[index];
   }
   double reportedLoad(std::size_t index) const override { return loads[index]; }
   double weight(std::size_t index) const override { return weights[index]; }
 
-  std::vector<Backend> back_ends;
+  std::vector<Backend> backends;
   std::vector<double> loads;
   std::vector<double> weights;
-  mutable std::size_t loads_asked = 0;
+  mutable std::size_t load_reads = 0;
 };
 
 /** The choice by its definition: of those within the bound the highest score. */
-std::size_t choiceByDefinition(const GivenCandidates& candidates, const FlowId& flow) {
+std::size_t referenceChoice(const CandidatesFake& candidates, const FlowId& flow) {
   double sum = 0;
   for (const double load : candidates.loads) {
     sum += load;
@@ -38,7 +38,7 @@
   std::size_t best = 0;
   double best_score = -1;
   for (std::size_t index = 0; index < candidates.size(); ++index) {
-    const std::uint64_t content[] = {flow.high, flow.low, candidates.back_ends[index].id.value()};
+    const std::uint64_t content[] = {flow.high, flow.low, candidates.backends[index].id.value()};
     const std::uint64_t hash = XXH3_64bits(content, sizeof(content));
     const double unit = (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
     const double score = -candidates.weights[index] / std::log(unit);
@@ -50,10 +50,10 @@
   return best;
 }
 
-GivenCandidates makeCandidates(std::uint32_t count, RandomGenerator& random, bool loaded) {
-  GivenCandidates candidates;
+CandidatesFake makeCandidates(std::uint32_t count, RandomGenerator& random, bool loaded) {
+  CandidatesFake candidates;
   for (std::uint32_t id = 1; id <= count; ++id) {
-    candidates.back_ends.push_back(makeBackend(id, ServiceId(1), kLac));
+    candidates.backends.push_back(makeBackend(id, ServiceId(1), kLac));
     candidates.weights.push_back(static_cast<double>(1 + random.below(4)) * random.unit());
     candidates.loads.push_back(loaded && random.below(3) > 0 ? random.unit() * 3 : 0);
   }
@@ -65,21 +65,21 @@
   BoundedRendezvousPolicy policy;
   for (int trial = 0; trial < 2000; ++trial) {
     const auto count = static_cast<std::uint32_t>(1 + random->below(120));
-    const GivenCandidates candidates = makeCandidates(count, *random, trial % 2 == 0);
+    const CandidatesFake candidates = makeCandidates(count, *random, trial % 2 == 0);
     const FlowId flow{random->next(), random->next()};
-    REQUIRE(policy.choose(candidates, flow, *random) == choiceByDefinition(candidates, flow));
+    REQUIRE(policy.choose(candidates, flow, *random) == referenceChoice(candidates, flow));
   }
 }
 
 TEST_CASE("loads are only asked for where they may decide", "[rendezvous]") {
   const auto random = makeSeededRandom(22);
   BoundedRendezvousPolicy policy;
-  const GivenCandidates idle = makeCandidates(3000, *random, false);
+  const CandidatesFake idle = makeCandidates(3000, *random, false);
   for (std::uint64_t flow = 0; flow < 20; ++flow) {
     policy.choose(idle, {flow, 1}, *random);
   }
   // Each best so far: about the logarithm of the number of candidates.
-  CHECK(idle.loads_asked < std::size_t{20} * 20);
+  CHECK(idle.load_reads < std::size_t{20} * 20);
 }
 
 }  // namespace
--- a/tests/flow/load_replay.h
+++ b/tests/flow/load_replay.h
@@ -14,58 +14,59 @@
 namespace lugfork {
 
 inline constexpr std::uint32_t kReplayZones = 3;
-inline constexpr std::uint32_t kServersOfZone = 10;
-inline constexpr std::uint32_t kNodesOfZone = 20;
-inline constexpr std::uint32_t kReplaySlots = 2;
-inline constexpr double kWorkMs = 25;
+inline constexpr std::uint32_t kBackendsPerZone = 10;
+inline constexpr std::uint32_t kBalancersPerZone = 20;
+inline constexpr std::uint32_t kSlotsPerBackend = 2;
+inline constexpr double kServiceTimeMs = 25;
 /** Flows a second that fill the slots of one zone. */
-inline constexpr double kZoneCapacity = kServersOfZone * kReplaySlots * 1000 / kWorkMs;
+inline constexpr double kZoneCapacityPerSecond =
+    kBackendsPerZone * kSlotsPerBackend * 1000 / kServiceTimeMs;
 
 /** One server: works on a few requests at once, queues a few more and refuses the rest at once. */
-class QueueFake {
+class BackendFake {
  public:
-  static constexpr std::size_t kQueue = 8;
+  static constexpr std::size_t kQueueCapacity = 8;
 
   /** @return time until the answer; a refusal comes after 1 ms. */
-  Duration serve(MonotonicTime now, Duration work) {
+  Duration serve(MonotonicTime now, Duration service_time) {
     while (!ends_.empty() && ends_.top() <= now) {
       ends_.pop();
     }
-    if (ends_.size() >= kReplaySlots + kQueue) {
+    if (ends_.size() >= kSlotsPerBackend + kQueueCapacity) {
       ++refused;
       return milliseconds(1);
     }
     auto& slot = *std::min_element(free_at_.begin(), free_at_.end());
-    slot = std::max(slot, now) + std::chrono::duration_cast<Duration>(slowness * work);
+    slot = std::max(slot, now) + std::chrono::duration_cast<Duration>(slowdown * service_time);
     ends_.push(slot);
     return slot - now;
   }
 
-  double slowness = 1;
+  double slowdown = 1;
   int refused = 0;
 
  private:
-  std::array<MonotonicTime, kReplaySlots> free_at_{};
+  std::array<MonotonicTime, kSlotsPerBackend> free_at_{};
   std::priority_queue<MonotonicTime, std::vector<MonotonicTime>, std::greater<>> ends_;
 };
 
 /** Servers that every node suspects. */
-struct SuspicionFake : BackendHealth {
+struct BackendHealthFake : BackendHealth {
   bool isSuspect(BackendId backend) const override { return suspects.count(backend.value()) > 0; }
   std::set<std::uint32_t> suspects;
 };
 
 /** What became of the flows of one zone's callers in one second. */
-struct ZoneSecond {
+struct ZoneSample {
   int flows = 0;
-  int own = 0;
+  int local = 0;
   int refused = 0;
   int late = 0;
-  double localFraction() const { return flows == 0 ? 1 : static_cast<double>(own) / flows; }
+  double localFraction() const { return flows == 0 ? 1 : static_cast<double>(local) / flows; }
 };
 
 /** Which way the own zone is weighed. */
-struct ReplayWay {
+struct ReplayVariant {
   LocalityMode mode = LocalityMode::Adaptive;
   double weight = 50;
   /** Service time that a balancer believes, over the true one; 0: the zone's demand isn't asked. */
@@ -73,34 +74,35 @@
 };
 
 /** Balancers and servers of each zone. */
-struct ReplayShape {
-  std::uint32_t nodes_of_zone = kNodesOfZone;
-  std::array<std::uint32_t, kReplayZones> servers = {kServersOfZone, kServersOfZone,
-                                                     kServersOfZone};
+struct ReplayTopology {
+  std::uint32_t balancers_per_zone = kBalancersPerZone;
+  std::array<std::uint32_t, kReplayZones> backend_counts = {kBackendsPerZone, kBackendsPerZone,
+                                                            kBackendsPerZone};
   std::uint64_t seed = 11;
 };
 
 class LoadReplay {
  public:
-  static constexpr Duration kAim = milliseconds(100);
+  static constexpr Duration kTargetLatency = milliseconds(100);
 
-  /** @param nodes_of_zone balancers in each zone: with many, each sees few flows. */
-  explicit LoadReplay(ReplayWay way, std::uint32_t nodes_of_zone = kNodesOfZone)
-      : LoadReplay(way, ReplayShape{nodes_of_zone}) {}
+  /** @param balancers_per_zone balancers in each zone: with many, each sees few flows. */
+  explicit LoadReplay(ReplayVariant variant, std::uint32_t balancers_per_zone = kBalancersPerZone)
+      : LoadReplay(variant, ReplayTopology{balancers_per_zone}) {}
 
-  LoadReplay(ReplayWay way, const ReplayShape& shape) : random_(makeSeededRandom(shape.seed)) {
+  LoadReplay(ReplayVariant variant, const ReplayTopology& topology)
+      : random_(makeSeededRandom(topology.seed)) {
     configuration.zones.clear();
     configuration.backends.clear();
     configuration.services = {{ServiceId(1), "feed", kListen, {}}};
     for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
       configuration.zones.push_back({ZoneId(zone), zoneName(zone), ""});
       configuration.services[0].allowed_zones.push_back(ZoneId(zone));
-      for (std::uint32_t server = 0; server < shape.servers[zone - 1]; ++server) {
+      for (std::uint32_t index = 0; index < topology.backend_counts[zone - 1]; ++index) {
         configuration.backends.push_back(
-            makeBackend(zone * 100 + server, ServiceId(1), ZoneId(zone)));
+            makeBackend(zone * 100 + index, ServiceId(1), ZoneId(zone)));
       }
-      for (std::uint32_t node = 0; node < shape.nodes_of_zone; ++node) {
-        nodes_[zone].push_back(std::make_unique<Node>(zone, way, *this));
+      for (std::uint32_t balancer = 0; balancer < topology.balancers_per_zone; ++balancer) {
+        balancers_[zone].push_back(std::make_unique<Balancer>(zone, variant, *this));
       }
     }
     apply();
@@ -109,9 +111,9 @@
   /** Puts the changed configuration into force. */
   void apply() {
     view_ = viewOf(configuration);
-    for (auto& [zone, nodes] : nodes_) {
-      for (auto& node : nodes) {
-        node->engine.setConfiguration(view_);
+    for (auto& [zone, balancers] : balancers_) {
+      for (auto& balancer : balancers) {
+        balancer->engine.setConfiguration(view_);
       }
     }
   }
@@ -120,7 +122,7 @@
   void run(int count) {
     for (int second = 0; second < count; ++second) {
       seconds_.push_back({});
-      taken_.clear();
+      placed_by_backend_.clear();
       for (int step = 0; step < 1000; ++step) {
         this->step();
       }
@@ -128,12 +130,12 @@
   }
 
   /** @return the sum over the last seconds. */
-  ZoneSecond sum(std::uint32_t zone, std::size_t count) const {
-    ZoneSecond total;
+  ZoneSample sum(std::uint32_t zone, std::size_t count) const {
+    ZoneSample total;
     for (std::size_t index = seconds_.size() - count; index < seconds_.size(); ++index) {
-      const ZoneSecond& second = seconds_[index].at(zone);
+      const ZoneSample& second = seconds_[index].at(zone);
       total.flows += second.flows;
-      total.own += second.own;
+      total.local += second.local;
       total.refused += second.refused;
       total.late += second.late;
     }
@@ -141,77 +143,77 @@
   }
 
   /** @return largest and smallest share of the own zone in the last seconds. */
-  std::pair<double, double> range(std::uint32_t zone, std::size_t count) const {
+  std::pair<double, double> localFractionRange(std::uint32_t zone, std::size_t count) const {
     std::pair<double, double> found{0, 1};
     for (std::size_t index = seconds_.size() - count; index < seconds_.size(); ++index) {
-      const double share = seconds_[index].at(zone).localFraction();
-      found = {std::max(found.first, share), std::min(found.second, share)};
+      const double local_fraction = seconds_[index].at(zone).localFraction();
+      found = {std::max(found.first, local_fraction), std::min(found.second, local_fraction)};
     }
     return found;
   }
 
   /** @return flows that a server got in the last second. */
-  int taken(std::uint32_t server) const {
-    const auto found = taken_.find(server);
-    return found == taken_.end() ? 0 : found->second;
+  int placedOn(std::uint32_t id) const {
+    const auto found = placed_by_backend_.find(id);
+    return found == placed_by_backend_.end() ? 0 : found->second;
   }
 
   /** @return standard deviation of the own zone's share by weight among a zone's balancers. */
-  double spread(std::uint32_t zone) const {
-    const auto& nodes = nodes_.at(zone);
+  double fractionDeviation(std::uint32_t zone) const {
+    const auto& balancers = balancers_.at(zone);
     double sum = 0;
     double squares = 0;
-    for (const auto& node : nodes) {
-      const double share = node->locality.localFraction(ServiceId(1));
-      sum += share;
-      squares += share * share;
+    for (const auto& balancer : balancers) {
+      const double local_fraction = balancer->locality.localFraction(ServiceId(1));
+      sum += local_fraction;
+      squares += local_fraction * local_fraction;
     }
-    const double mean = sum / static_cast<double>(nodes.size());
-    return std::sqrt(std::max(0.0, squares / static_cast<double>(nodes.size()) - mean * mean));
+    const double mean = sum / static_cast<double>(balancers.size());
+    return std::sqrt(std::max(0.0, squares / static_cast<double>(balancers.size()) - mean * mean));
   }
 
-  LocalityRouter& locality(std::uint32_t zone, std::size_t node) {
-    return nodes_[zone][node]->locality;
+  LocalityRouter& locality(std::uint32_t zone, std::size_t balancer) {
+    return balancers_[zone][balancer]->locality;
   }
 
   static std::string zoneName(std::uint32_t zone) { return "zone-" + std::to_string(zone); }
 
   ManualTimeSource time;
-  SuspicionFake suspicion;
+  BackendHealthFake backend_health;
   Configuration configuration = twoServices();
-  std::map<std::uint32_t, QueueFake> servers;
+  std::map<std::uint32_t, BackendFake> backend_fakes;
   /** Flows a second of each zone's callers, as a share of kZoneCapacity. */
   std::map<std::uint32_t, double> load;
 
  private:
-  struct Node {
-    Node(std::uint32_t zone, ReplayWay way, LoadReplay& replay)
+  struct Balancer {
+    Balancer(std::uint32_t zone, ReplayVariant variant, LoadReplay& replay)
         : random(makeSeededRandom(zone)),
           loads(LoadEstimateSettings(), replay.time),
           speed(ResponseTimeSettings(), replay.time),
           in_flight(replay.time),
-          locality(settingsOf(way), replay.time, log),
+          locality(settingsOf(variant), replay.time, log),
           engine(placementOf(zone), makePlacementPolicy("bounded_rendezvous"), loads, replay.time,
                  *random),
           demand(ZoneDemandSettings(), replay.time) {
-      if (way.service_time_factor > 0) {
-        const Duration believed(
-            static_cast<std::int64_t>(1000 * kWorkMs * way.service_time_factor));
-        engine.setZoneDemand([this, believed, &replay](ServiceId service) {
-          return demand.update(service, believed, {replay.nodes_[1].size(), 1, 1});
+      if (variant.service_time_factor > 0) {
+        const Duration estimated(
+            static_cast<std::int64_t>(1000 * kServiceTimeMs * variant.service_time_factor));
+        engine.setZoneDemand([this, estimated, &replay](ServiceId service) {
+          return demand.update(service, estimated, {replay.balancers_[1].size(), 1, 1});
         });
       }
       engine.setSpeed(&speed);
       engine.setRequestsInFlight(&in_flight);
       engine.setLocality(&locality);
-      engine.setBackendHealth(&replay.suspicion);
+      engine.setBackendHealth(&replay.backend_health);
     }
 
-    static LocalitySettings settingsOf(ReplayWay way) {
+    static LocalitySettings settingsOf(ReplayVariant variant) {
       LocalitySettings settings;
-      settings.mode = way.mode;
-      settings.max_weight = way.weight;
-      settings.max_bulk_weight = way.weight;
+      settings.mode = variant.mode;
+      settings.max_weight = variant.weight;
+      settings.max_bulk_weight = variant.weight;
       return settings;
     }
 
@@ -233,8 +235,8 @@
 
   struct Answer {
     MonotonicTime at;
-    Duration took;
-    Node* node;
+    Duration duration;
+    Balancer* balancer;
     BackendId backend;
     FlowId flow;
     bool operator>(const Answer& other) const { return at > other.at; }
@@ -247,64 +249,64 @@
       onAnswer(answers_.top());
       answers_.pop();
     }
-    for (auto& [zone, nodes] : nodes_) {
-      const double expected = load[zone] * kZoneCapacity / 1000;
+    for (auto& [zone, balancers] : balancers_) {
+      const double expected = load[zone] * kZoneCapacityPerSecond / 1000;
       // Arrivals by chance: at most four in a millisecond.
       for (int chance = 0; chance < 4; ++chance) {
         if (random_->unit() < expected / 4) {
-          open(zone, *nodes[random_->below(nodes.size())]);
+          open(zone, *balancers[random_->below(balancers.size())]);
         }
       }
     }
     if (++steps_ % 500 == 0) {
-      for (auto& [zone, nodes] : nodes_) {
-        for (auto& node : nodes) {
-          node->speed.compare(*view_);
+      for (auto& [zone, balancers] : balancers_) {
+        for (auto& balancer : balancers) {
+          balancer->speed.compare(*view_);
         }
       }
     }
   }
 
-  void open(std::uint32_t zone, Node& node) {
+  void open(std::uint32_t zone, Balancer& balancer) {
     const FlowId flow{zone, ++flows_};
-    node.demand.onRequest(ServiceId(1));
-    const auto placed = node.engine.place(*view_->service(ServiceId(1)), flow);
-    ZoneSecond& second = seconds_.back()[zone];
+    balancer.demand.onRequest(ServiceId(1));
+    const auto placed = balancer.engine.place(*view_->service(ServiceId(1)), flow);
+    ZoneSample& second = seconds_.back()[zone];
     ++second.flows;
     if (!placed) {
       ++second.refused;
       return;
     }
     const Backend& backend = *placed.value();
-    second.own += backend.zone == ZoneId(zone) ? 1 : 0;
-    ++taken_[backend.id.value()];
-    QueueFake& server = servers[backend.id.value()];
-    const int refused_before = server.refused;
+    second.local += backend.zone == ZoneId(zone) ? 1 : 0;
+    ++placed_by_backend_[backend.id.value()];
+    BackendFake& backend_fake = backend_fakes[backend.id.value()];
+    const int refused_before = backend_fake.refused;
     const double spread = std::exp(0.5 * (random_->unit() + random_->unit() - 1));
-    const Duration work(static_cast<std::int64_t>(1000 * kWorkMs * spread));
-    const Duration took = server.serve(time.monotonicTime(), work);
-    second.refused += server.refused - refused_before;
-    second.late += took > kAim ? 1 : 0;
-    node.in_flight.begin(backend.id, flow, seconds(1));
-    answers_.push({time.monotonicTime() + took, took, &node, backend.id, flow});
+    const Duration service_time(static_cast<std::int64_t>(1000 * kServiceTimeMs * spread));
+    const Duration duration = backend_fake.serve(time.monotonicTime(), service_time);
+    second.refused += backend_fake.refused - refused_before;
+    second.late += duration > kTargetLatency ? 1 : 0;
+    balancer.in_flight.begin(backend.id, flow, seconds(1));
+    answers_.push({time.monotonicTime() + duration, duration, &balancer, backend.id, flow});
   }
 
   void onAnswer(const Answer& answer) {
-    Node& node = *answer.node;
-    node.in_flight.end(answer.backend, answer.flow);
+    Balancer& balancer = *answer.balancer;
+    balancer.in_flight.end(answer.backend, answer.flow);
     const Backend* backend = view_->backend(answer.backend);
     if (backend != nullptr) {
-      node.speed.onResponse(answer.backend, answer.took);
-      node.engine.onResponse(*backend, answer.took);
+      balancer.speed.onResponse(answer.backend, answer.duration);
+      balancer.engine.onResponse(*backend, answer.duration);
     }
   }
 
   std::unique_ptr<RandomGenerator> random_;
   ConfigurationViewPtr view_;
-  std::map<std::uint32_t, std::vector<std::unique_ptr<Node>>> nodes_;
+  std::map<std::uint32_t, std::vector<std::unique_ptr<Balancer>>> balancers_;
   std::priority_queue<Answer, std::vector<Answer>, std::greater<>> answers_;
-  std::vector<std::map<std::uint32_t, ZoneSecond>> seconds_;
-  std::map<std::uint32_t, int> taken_;
+  std::vector<std::map<std::uint32_t, ZoneSample>> seconds_;
+  std::map<std::uint32_t, int> placed_by_backend_;
   std::uint64_t flows_ = 0;
   std::uint64_t steps_ = 0;
 };
--- a/tests/flow/locality_demand_test.cc
+++ b/tests/flow/locality_demand_test.cc
@@ -29,12 +29,12 @@
   }
 
   /** Lets half seconds pass, each with some answers from both sides. */
-  void pass(int halves, double demand, int own_ms, int others_ms) {
-    for (int half = 0; half < halves; ++half) {
+  void advance(int half_seconds, double demand, int local_ms, int remote_ms) {
+    for (int half_second = 0; half_second < half_seconds; ++half_second) {
       for (int answer = 0; answer < 10; ++answer) {
         time.elapsed += milliseconds(50);
-        router.onResponse(kFeed, true, milliseconds(own_ms * (answer % 2 == 0 ? 4 : 2) / 3));
-        router.onResponse(kFeed, false, milliseconds(others_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        router.onResponse(kFeed, true, milliseconds(local_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        router.onResponse(kFeed, false, milliseconds(remote_ms * (answer % 2 == 0 ? 4 : 2) / 3));
       }
       assess(demand);
     }
@@ -51,8 +51,8 @@
     const char* name;
     double local_usable_slots;
     double demand;
-    double most_share;
-    double least_share;
+    double max_fraction;
+    double min_fraction;
   };
   const Row rows[] = {
       {"few callers stay, however few the slots", 24, 12, 0.85, 0.84},
@@ -67,10 +67,10 @@
     DemandRouterHarness harness;
     harness.capacity.local_usable_slots = row.local_usable_slots;
     harness.capacity.total_usable_slots = 216 + row.local_usable_slots;
-    const double share = harness.assess(row.demand);
-    CHECK(share <= row.most_share);
-    CHECK(share >= row.least_share);
-    const bool keeps_all = row.least_share > 0.8;
+    const double local_fraction = harness.assess(row.demand);
+    CHECK(local_fraction <= row.max_fraction);
+    CHECK(local_fraction >= row.min_fraction);
+    const bool keeps_all = row.min_fraction > 0.8;
     CHECK(harness.router.cause(kFeed) == (keeps_all ? OverflowCause::None : OverflowCause::Demand));
   }
 }
@@ -97,10 +97,10 @@
     DemandRouterHarness harness;
     harness.assess(1.05 * mean);
     harness.time.elapsed += seconds(60);
-    const double share = harness.assess(1.05 * mean);
+    const double local_fraction = harness.assess(1.05 * mean);
     for (int step = 0; step < 600; ++step) {
       harness.time.elapsed += milliseconds(200);
-      REQUIRE(harness.assess(mean * (1 + 0.05 * std::sin(step))) == Approx(share));
+      REQUIRE(harness.assess(mean * (1 + 0.05 * std::sin(step))) == Approx(local_fraction));
     }
   }
 }
@@ -122,7 +122,7 @@
   DemandRouterHarness harness;
   harness.assess(40);
   REQUIRE(harness.router.localFraction(kFeed) < 0.5);
-  harness.pass(120, 40, 80, 80);
+  harness.advance(120, 40, 80, 80);
   CHECK(harness.router.weight(kFeed, false) == 50);
   // More callers than that count at once again.
   harness.assess(80);
@@ -133,23 +133,23 @@
 TEST_CASE("where others answer earlier, what demand sends beyond stays there",
           "[locality][demand]") {
   DemandRouterHarness harness;
-  const double share = harness.assess(40);
-  harness.pass(120, 40, 36, 30);
-  CHECK(harness.router.localFraction(kFeed) == Approx(share));
+  const double local_fraction = harness.assess(40);
+  harness.advance(120, 40, 36, 30);
+  CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
   // Response times go on from there.
-  harness.pass(10, 40, 80, 30);
-  CHECK(harness.router.localFraction(kFeed) < share);
+  harness.advance(10, 40, 80, 30);
+  CHECK(harness.router.localFraction(kFeed) < local_fraction);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
 }
 
 TEST_CASE("few answers take nothing back that demand sends beyond", "[locality][demand]") {
   DemandRouterHarness harness;
-  const double share = harness.assess(40);
+  const double local_fraction = harness.assess(40);
   for (int step = 0; step < 300; ++step) {
     harness.time.elapsed += milliseconds(200);
     harness.assess(40);
   }
-  CHECK(harness.router.localFraction(kFeed) == Approx(share));
+  CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
 }
 
 }  // namespace
--- a/tests/flow/locality_load_test.cc
+++ b/tests/flow/locality_load_test.cc
@@ -6,17 +6,17 @@
 namespace lugfork {
 namespace {
 
-constexpr ReplayWay kConstant2{LocalityMode::Constant, 2};
-constexpr ReplayWay kConstant50{LocalityMode::Constant, 50};
-constexpr ReplayWay kAdaptive{LocalityMode::Adaptive, 50};
+constexpr ReplayVariant kConstant2{LocalityMode::Constant, 2};
+constexpr ReplayVariant kConstant50{LocalityMode::Constant, 50};
+constexpr ReplayVariant kAdaptive{LocalityMode::Adaptive, 50};
 
-LoadReplay evenLoad(ReplayWay way, double load) {
-  LoadReplay replay(way);
+LoadReplay evenLoad(ReplayVariant variant, double load) {
+  LoadReplay replay(variant);
   replay.load = {{1, load}, {2, load}, {3, load}};
   return replay;
 }
 
-double lateShare(const ZoneSecond& sum) {
+double lateFraction(const ZoneSample& sum) {
   return static_cast<double>(sum.late + sum.refused) / sum.flows;
 }
 
@@ -29,18 +29,18 @@
     replay.run(40);
     even.run(40);
     for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
-      const auto [most, least] = replay.range(zone, 30);
-      CHECK(least > 0.8);
-      CHECK(most - least < 0.15);
+      const auto [max_fraction, min_fraction] = replay.localFractionRange(zone, 30);
+      CHECK(min_fraction > 0.8);
+      CHECK(max_fraction - min_fraction < 0.15);
       // Not served worse than with flows spread over the zones, but for chance.
-      CHECK(lateShare(replay.sum(zone, 30)) < lateShare(even.sum(zone, 30)) + 0.06);
+      CHECK(lateFraction(replay.sum(zone, 30)) < lateFraction(even.sum(zone, 30)) + 0.06);
     }
   }
 }
 
 TEST_CASE("a zone's last server is not run over by its zone", "[locality][load]") {
-  const auto after = [](ReplayWay way) {
-    LoadReplay replay = evenLoad(way, 0.4);
+  const auto after = [](ReplayVariant variant) {
+    LoadReplay replay = evenLoad(variant, 0.4);
     replay.run(5);
     std::erase_if(replay.configuration.backends, [](const Backend& backend) {
       return backend.zone == ZoneId(1) && backend.id != BackendId(100);
@@ -49,17 +49,17 @@
     replay.run(5);
     return replay.sum(1, 5);
   };
-  CHECK(lateShare(after(kAdaptive)) < 0.02);
+  CHECK(lateFraction(after(kAdaptive)) < 0.02);
   // The replay tells the ways apart.
-  CHECK(lateShare(after(kConstant50)) > 0.1);
+  CHECK(lateFraction(after(kConstant50)) > 0.1);
 }
 
 TEST_CASE("what a zone of half slow servers can't take in time goes beyond", "[locality][load]") {
-  const auto play = [](ReplayWay way) {
-    LoadReplay replay = evenLoad(way, 0.6);
+  const auto play = [](ReplayVariant variant) {
+    LoadReplay replay = evenLoad(variant, 0.6);
     replay.run(5);
-    for (std::uint32_t server = 100; server < 105; ++server) {
-      replay.servers[server].slowness = 4;
+    for (std::uint32_t id = 100; id < 105; ++id) {
+      replay.backend_fakes[id].slowdown = 4;
     }
     replay.run(20);
     return replay;
@@ -67,11 +67,11 @@
   LoadReplay adaptive = play(kAdaptive);
   LoadReplay constant = play(kConstant50);
   CHECK(adaptive.sum(1, 15).refused * 10 < constant.sum(1, 15).refused);
-  CHECK(lateShare(adaptive.sum(1, 15)) < 0.6 * lateShare(constant.sum(1, 15)));
+  CHECK(lateFraction(adaptive.sum(1, 15)) < 0.6 * lateFraction(constant.sum(1, 15)));
   // The other zones bear it.
-  CHECK(lateShare(adaptive.sum(2, 15)) < 0.03);
-  for (std::uint32_t server = 100; server < 105; ++server) {
-    adaptive.servers[server].slowness = 1;
+  CHECK(lateFraction(adaptive.sum(2, 15)) < 0.03);
+  for (std::uint32_t id = 100; id < 105; ++id) {
+    adaptive.backend_fakes[id].slowdown = 1;
   }
   adaptive.run(45);
   CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
@@ -79,18 +79,18 @@
 
 TEST_CASE("clients that move to a zone are served by the others too, and not for longer",
           "[locality][load]") {
-  const auto play = [](ReplayWay way) {
-    LoadReplay replay = evenLoad(way, 0.5);
+  const auto play = [](ReplayVariant variant) {
+    LoadReplay replay = evenLoad(variant, 0.5);
     replay.run(5);
     replay.load = {{1, 1.3}, {2, 0.1}, {3, 0.1}};
     replay.run(20);
     return replay;
   };
   LoadReplay adaptive = play(kAdaptive);
-  CHECK(lateShare(adaptive.sum(1, 15)) < 0.01);
-  CHECK(lateShare(play(kConstant50).sum(1, 15)) > 0.4);
-  const auto [most, least] = adaptive.range(1, 10);
-  CHECK(most - least < 0.15);
+  CHECK(lateFraction(adaptive.sum(1, 15)) < 0.01);
+  CHECK(lateFraction(play(kConstant50).sum(1, 15)) > 0.4);
+  const auto [max_fraction, min_fraction] = adaptive.localFractionRange(1, 10);
+  CHECK(max_fraction - min_fraction < 0.15);
   adaptive.load = {{1, 0.5}, {2, 0.5}, {3, 0.5}};
   adaptive.run(40);
   CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
@@ -98,8 +98,8 @@
 
 TEST_CASE("balancers that see a dozen flows a second follow a move of clients too",
           "[locality][load]") {
-  const auto play = [](ReplayWay way) {
-    LoadReplay replay(way, 60);
+  const auto play = [](ReplayVariant variant) {
+    LoadReplay replay(variant, 60);
     replay.load = {{1, 0.5}, {2, 0.5}, {3, 0.5}};
     replay.run(5);
     CHECK(replay.sum(1, 3).localFraction() > 0.93);
@@ -107,21 +107,21 @@
     replay.run(20);
     return replay;
   };
-  CHECK(lateShare(play(kAdaptive).sum(1, 15)) < 0.02);
-  CHECK(lateShare(play(kConstant50).sum(1, 15)) > 0.4);
+  CHECK(lateFraction(play(kAdaptive).sum(1, 15)) < 0.02);
+  CHECK(lateFraction(play(kConstant50).sum(1, 15)) > 0.4);
 }
 
 TEST_CASE("with all servers of the own zone suspect every flow goes beyond, and comes back slowly",
           "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.3);
   replay.run(3);
-  for (std::uint32_t server = 100; server < 110; ++server) {
-    replay.suspicion.suspects.insert(server);
+  for (std::uint32_t id = 100; id < 110; ++id) {
+    replay.backend_health.suspects.insert(id);
   }
   replay.run(2);
-  CHECK(replay.sum(1, 1).own == 0);
+  CHECK(replay.sum(1, 1).local == 0);
   CHECK(replay.sum(1, 1).refused == 0);
-  replay.suspicion.suspects.clear();
+  replay.backend_health.suspects.clear();
   replay.run(2);
   // Its servers get their even part first.
   CHECK(replay.sum(1, 1).localFraction() < 0.5);
@@ -132,15 +132,15 @@
 TEST_CASE("in a zone that is cut off nearly all flows stay with its servers", "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.3);
   replay.run(3);
-  for (std::uint32_t server = 0; server < kServersOfZone; ++server) {
-    replay.suspicion.suspects.insert(200 + server);
-    replay.suspicion.suspects.insert(300 + server);
+  for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
+    replay.backend_health.suspects.insert(200 + index);
+    replay.backend_health.suspects.insert(300 + index);
   }
   replay.run(2);
   CHECK(replay.sum(1, 1).localFraction() == 1);
   // A node whose own zone's servers are silent too learns nothing from that.
-  for (std::uint32_t server = 0; server < kServersOfZone; ++server) {
-    replay.suspicion.suspects.insert(100 + server);
+  for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
+    replay.backend_health.suspects.insert(100 + index);
   }
   replay.run(2);
   CHECK(replay.sum(1, 1).refused == 0);
@@ -149,25 +149,25 @@
 TEST_CASE("at a release of a zone's servers none of them gets a crowd", "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.4);
   replay.run(5);
-  const double usual = 0.4 * kZoneCapacity / kServersOfZone;
-  for (std::uint32_t server = 0; server < kServersOfZone; ++server) {
-    Backend& leaving = replay.configuration.backends[server];
+  const double mean_flows = 0.4 * kZoneCapacityPerSecond / kBackendsPerZone;
+  for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
+    Backend& leaving = replay.configuration.backends[index];
     REQUIRE(leaving.zone == ZoneId(1));
     leaving.draining = true;
     replay.apply();
     replay.run(1);
     leaving.draining = false;
     leaving.cold_until = replay.time.monotonicTime() + seconds(2);
-    replay.servers[leaving.id.value()].slowness = 1.6;
-    if (server >= 2) {
-      replay.servers[leaving.id.value() - 2].slowness = 1;
+    replay.backend_fakes[leaving.id.value()].slowdown = 1.6;
+    if (index >= 2) {
+      replay.backend_fakes[leaving.id.value() - 2].slowdown = 1;
     }
     replay.apply();
     replay.run(1);
     for (std::uint32_t other = 100; other < 110; ++other) {
-      CHECK(replay.taken(other) < 2.2 * usual);
+      CHECK(replay.placedOn(other) < 2.2 * mean_flows);
     }
-    CHECK(lateShare(replay.sum(1, 2)) < 0.03);
+    CHECK(lateFraction(replay.sum(1, 2)) < 0.03);
   }
 }
 
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -31,13 +31,13 @@
   }
 
   /** Lets that many half seconds pass, each with some answers from both sides. */
-  void pass(int halves, int own_ms, int others_ms) {
-    for (int half = 0; half < halves; ++half) {
+  void advance(int half_seconds, int local_ms, int remote_ms) {
+    for (int half_second = 0; half_second < half_seconds; ++half_second) {
       for (int answer = 0; answer < 10; ++answer) {
         time.elapsed += milliseconds(50);
         // Spread as work of one kind is: by a third around its mean.
-        router.onResponse(kFeed, true, milliseconds(own_ms * (answer % 2 == 0 ? 4 : 2) / 3));
-        router.onResponse(kFeed, false, milliseconds(others_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        router.onResponse(kFeed, true, milliseconds(local_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        router.onResponse(kFeed, false, milliseconds(remote_ms * (answer % 2 == 0 ? 4 : 2) / 3));
       }
       assess();
     }
@@ -60,7 +60,7 @@
 
 TEST_CASE("the own zone has the largest weight once no other zone has slots", "[locality]") {
   LocalityHarness harness;
-  harness.pass(6, 100, 20);
+  harness.advance(6, 100, 20);
   REQUIRE(harness.router.weight(kFeed, false) < 50);
   harness.capacity = {40, 40, 40, 40, 3};
   // Late answers of the own zone, beside what is remembered of the others, move nothing now.
@@ -79,8 +79,8 @@
     const char* name;
     double local_usable_slots;
     double total_usable_slots;
-    double most_share;
-    double least_share;
+    double max_fraction;
+    double min_fraction;
   };
   const Row rows[] = {
       {"half of the slots carry the zone's part at common loads", 20, 100, 1, 0.95},
@@ -94,14 +94,14 @@
     harness.capacity.local_usable_slots = row.local_usable_slots;
     harness.capacity.total_usable_slots = row.total_usable_slots;
     harness.assess();
-    const double share = harness.router.localFraction(kFeed);
-    CHECK(share <= row.most_share);
-    CHECK(share >= row.least_share);
+    const double local_fraction = harness.router.localFraction(kFeed);
+    CHECK(local_fraction <= row.max_fraction);
+    CHECK(local_fraction >= row.min_fraction);
     harness.capacity = LocalityCapacity{40, 40, 120, 120, 3};
     harness.assess();
     // Callers must not all come at once to a zone that is just back.
-    CHECK(harness.router.localFraction(kFeed) == Approx(share));
-    harness.pass(60, 30, 30);
+    CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
+    harness.advance(60, 30, 30);
     CHECK(harness.router.weight(kFeed, false) == 50);
     CHECK(harness.router.cause(kFeed) == OverflowCause::None);
   }
@@ -111,31 +111,31 @@
   LocalityHarness harness(LocalityMode::Constant);
   harness.capacity.local_usable_slots = 1;
   harness.assess();
-  harness.pass(20, 300, 30);
+  harness.advance(20, 300, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
 TEST_CASE("late answers of the own zone send flows beyond, in time ones bring them back",
           "[locality]") {
   LocalityHarness harness;
-  harness.pass(4, 45, 30);
+  harness.advance(4, 45, 30);
   const double first = harness.router.localFraction(kFeed);
   CHECK(first < 0.95);
   CHECK(first > 0.5);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
-  harness.pass(30, 60, 30);
+  harness.advance(30, 60, 30);
   // Never fewer than the zone's slots would get by themselves.
   CHECK(harness.router.localFraction(kFeed) == Approx(1.0 / 3));
   CHECK(harness.router.weight(kFeed, true) == Approx(1));
-  harness.pass(60, 30, 30);
+  harness.advance(60, 30, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
 TEST_CASE("differences that tell nothing leave the share where it is", "[locality]") {
   struct Row {
     const char* name;
-    int own_ms;
-    int others_ms;
+    int local_ms;
+    int remote_ms;
   };
   const Row rows[] = {
       {"as fast as others", 30, 30},
@@ -146,15 +146,15 @@
   for (const Row& row : rows) {
     INFO(row.name);
     LocalityHarness harness;
-    harness.pass(40, row.own_ms, row.others_ms);
+    harness.advance(40, row.local_ms, row.remote_ms);
     CHECK(harness.router.weight(kFeed, false) == 50);
   }
 }
 
 TEST_CASE("refusals of full queues do not make the own zone look fast", "[locality]") {
   LocalityHarness harness;
-  for (int half = 0; half < 20; ++half) {
-    harness.pass(1, 90, 30);
+  for (int half_second = 0; half_second < 20; ++half_second) {
+    harness.advance(1, 90, 30);
     // Half of the answers are refusals.
     for (int refusal = 0; refusal < 10; ++refusal) {
       harness.router.onResponse(kFeed, true, milliseconds(1));
@@ -180,10 +180,10 @@
 
 TEST_CASE("few answers are no reason to send flows beyond", "[locality]") {
   LocalityHarness harness;
-  for (int half = 0; half < 20; ++half) {
+  for (int half_second = 0; half_second < 20; ++half_second) {
     harness.time.elapsed += milliseconds(500);
     harness.router.onResponse(kFeed, true, milliseconds(200));
-    if (half % 8 == 0) {
+    if (half_second % 8 == 0) {
       harness.router.onResponse(kFeed, false, milliseconds(30));
     }
     harness.assess();
@@ -193,12 +193,12 @@
 
 TEST_CASE("a share between the bounds stands still", "[locality]") {
   LocalityHarness harness;
-  harness.pass(4, 45, 30);
-  const double share = harness.router.localFraction(kFeed);
-  harness.pass(20, 37, 30);
-  CHECK(harness.router.localFraction(kFeed) <= share);
+  harness.advance(4, 45, 30);
+  const double local_fraction = harness.router.localFraction(kFeed);
+  harness.advance(20, 37, 30);
+  CHECK(harness.router.localFraction(kFeed) <= local_fraction);
   const double later = harness.router.localFraction(kFeed);
-  harness.pass(40, 37, 30);
+  harness.advance(40, 37, 30);
   CHECK(harness.router.localFraction(kFeed) == Approx(later));
 }
 
@@ -207,9 +207,9 @@
   // The zone is in time up to a share of 0.8.
   int changes = 0;
   double last = harness.router.localFraction(kFeed);
-  for (int half = 0; half < 240; ++half) {
-    harness.pass(1, harness.router.localFraction(kFeed) > 0.8 ? 45 : 30, 30);
-    if (half >= 120) {
+  for (int half_second = 0; half_second < 240; ++half_second) {
+    harness.advance(1, harness.router.localFraction(kFeed) > 0.8 ? 45 : 30, 30);
+    if (half_second >= 120) {
       changes += harness.router.localFraction(kFeed) == last ? 0 : 1;
       CHECK(harness.router.localFraction(kFeed) > 0.6);
       CHECK(harness.router.localFraction(kFeed) < 0.9);
@@ -221,21 +221,21 @@
 }
 
 /** 120 idle servers, each third in the own zone. */
-struct IdleServers : CandidateSet {
-  explicit IdleServers(double own_weight) : weight_of_own(own_weight) {
+struct IdleBackends : CandidateSet {
+  explicit IdleBackends(double initial_weight) : local_weight(initial_weight) {
     for (std::uint32_t id = 1; id <= 120; ++id) {
-      servers.push_back(makeBackend(id, kFeed, id % 3 == 0 ? kLac : kAriana));
+      backends.push_back(makeBackend(id, kFeed, id % 3 == 0 ? kLac : kAriana));
     }
   }
-  std::size_t size() const override { return servers.size(); }
-  const Backend& backend(std::size_t index) const override { return servers[index]; }
+  std::size_t size() const override { return backends.size(); }
+  const Backend& backend(std::size_t index) const override { return backends[index]; }
   double estimatedLoad(std::size_t) const override { return 0; }
   double reportedLoad(std::size_t) const override { return 0; }
   double weight(std::size_t index) const override {
-    return servers[index].zone == kLac ? weight_of_own : 1;
+    return backends[index].zone == kLac ? local_weight : 1;
   }
-  std::vector<Backend> servers;
-  double weight_of_own;
+  std::vector<Backend> backends;
+  double local_weight;
 };
 
 TEST_CASE("balancers whose shares differ by a step place nearly all flows alike", "[locality]") {
@@ -244,19 +244,20 @@
   BoundedRendezvousPolicy policy;
   std::vector<double> weights = {harness.router.weight(kFeed, false)};
   while (harness.router.localFraction(kFeed) > 0.34) {
-    harness.pass(1, 42, 30);
+    harness.advance(1, 42, 30);
     weights.push_back(harness.router.weight(kFeed, false));
   }
   REQUIRE(weights.size() >= 16);
   for (std::size_t step = 1; step < weights.size(); ++step) {
-    const IdleServers before(weights[step - 1]);
-    const IdleServers after(weights[step]);
-    int alike = 0;
+    const IdleBackends before(weights[step - 1]);
+    const IdleBackends after(weights[step]);
+    int equal_choices = 0;
     for (std::uint64_t flow = 0; flow < 1000; ++flow) {
       const FlowId id{7, flow};
-      alike += policy.choose(before, id, *random) == policy.choose(after, id, *random) ? 1 : 0;
+      equal_choices +=
+          policy.choose(before, id, *random) == policy.choose(after, id, *random) ? 1 : 0;
     }
-    CHECK(alike > 930);
+    CHECK(equal_choices > 930);
   }
 }
 
--- a/tests/flow/overflow_by_demand_test.cc
+++ b/tests/flow/overflow_by_demand_test.cc
@@ -9,14 +9,14 @@
 namespace lugfork {
 namespace {
 
-constexpr ReplayWay kByTimes{LocalityMode::Adaptive, 50};
-constexpr ReplayWay kByDemand{LocalityMode::Adaptive, 50, 1};
+constexpr ReplayVariant kByResponseTime{LocalityMode::Adaptive, 50};
+constexpr ReplayVariant kByDemand{LocalityMode::Adaptive, 50, 1};
 constexpr std::uint64_t kSeeds[] = {11, 12, 13};
-using Servers = std::array<std::uint32_t, kReplayZones>;
+using BackendCounts = std::array<std::uint32_t, kReplayZones>;
 using Loads = std::array<double, kReplayZones>;
 
-constexpr Servers kUnequal{21, 6, 3};
-constexpr Servers kEqual{10, 10, 10};
+constexpr BackendCounts kUnequal{21, 6, 3};
+constexpr BackendCounts kEqual{10, 10, 10};
 
 void setLoad(LoadReplay& replay, const Loads& loads) {
   for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
@@ -24,41 +24,41 @@
   }
 }
 
-LoadReplay start(ReplayWay way, const ReplayShape& shape, const Loads& loads) {
-  LoadReplay replay(way, shape);
+LoadReplay start(ReplayVariant variant, const ReplayTopology& topology, const Loads& loads) {
+  LoadReplay replay(variant, topology);
   setLoad(replay, loads);
   return replay;
 }
 
-double lateShare(const ZoneSecond& sum) {
+double lateFraction(const ZoneSample& sum) {
   return static_cast<double>(sum.late + sum.refused) / std::max(sum.flows, 1);
 }
 
 /** @return late or refused share of all zones' flows in the last seconds. */
-double lateOfAll(const LoadReplay& replay, std::size_t count) {
-  ZoneSecond total;
+double totalLateFraction(const LoadReplay& replay, std::size_t count) {
+  ZoneSample total;
   for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
-    const ZoneSecond sum = replay.sum(zone, count);
+    const ZoneSample sum = replay.sum(zone, count);
     total.flows += sum.flows;
     total.late += sum.late;
     total.refused += sum.refused;
   }
-  return lateShare(total);
+  return lateFraction(total);
 }
 
-double worstZone(const LoadReplay& replay, std::size_t count) {
-  double worst = 0;
+double maxZoneLateFraction(const LoadReplay& replay, std::size_t count) {
+  double max_fraction = 0;
   for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
-    worst = std::max(worst, lateShare(replay.sum(zone, count)));
+    max_fraction = std::max(max_fraction, lateFraction(replay.sum(zone, count)));
   }
-  return worst;
+  return max_fraction;
 }
 
 TEST_CASE("unequal zones serve even callers in time from the first second on",
           "[locality][demand]") {
   struct Row {
     const char* name;
-    Servers servers;
+    BackendCounts backend_counts;
     Loads loads;
     double first_second;
   };
@@ -71,13 +71,13 @@
   for (const Row& row : rows) {
     for (const std::uint64_t seed : kSeeds) {
       INFO(row.name << ", seed " << seed);
-      LoadReplay replay = start(kByDemand, {25, row.servers, seed}, row.loads);
+      LoadReplay replay = start(kByDemand, {25, row.backend_counts, seed}, row.loads);
       replay.run(1);
-      CHECK(lateOfAll(replay, 1) < row.first_second);
+      CHECK(totalLateFraction(replay, 1) < row.first_second);
       replay.run(1);
-      CHECK(worstZone(replay, 1) < 0.03);
+      CHECK(maxZoneLateFraction(replay, 1) < 0.03);
       replay.run(28);
-      CHECK(worstZone(replay, 28) < 0.01);
+      CHECK(maxZoneLateFraction(replay, 28) < 0.01);
       // Counted by cause: the smallest zone's callers leave it.
       const LocalityCounters counters = replay.locality(2, 0).counters(ServiceId(1));
       const auto by_demand =
@@ -89,9 +89,9 @@
 
 TEST_CASE("response times alone show unequal zones a second or two later", "[locality][demand]") {
   // The replay tells the ways apart.
-  LoadReplay replay = start(kByTimes, {25, kUnequal}, {0.56, 0.56, 0.56});
+  LoadReplay replay = start(kByResponseTime, {25, kUnequal}, {0.56, 0.56, 0.56});
   replay.run(2);
-  CHECK(lateOfAll(replay, 2) > 0.06);
+  CHECK(totalLateFraction(replay, 2) > 0.06);
 }
 
 TEST_CASE("balancers that see 40 requests a second know unequal zones within half a second",
@@ -100,39 +100,39 @@
     INFO("seed " << seed);
     LoadReplay replay = start(kByDemand, {8, kUnequal, seed}, {0.56, 0.56, 0.56});
     replay.run(1);
-    CHECK(worstZone(replay, 1) < 0.02);
+    CHECK(maxZoneLateFraction(replay, 1) < 0.02);
   }
 }
 
 TEST_CASE("balancers that see a request or two a second know unequal zones after some seconds",
           "[locality][demand]") {
-  const auto late = [](ReplayWay way) {
-    LoadReplay replay = start(way, {300, kUnequal}, {0.56, 0.56, 0.56});
+  const auto late = [](ReplayVariant variant) {
+    LoadReplay replay = start(variant, {300, kUnequal}, {0.56, 0.56, 0.56});
     replay.run(20);
-    return lateOfAll(replay, 10);
+    return totalLateFraction(replay, 10);
   };
   CHECK(late(kByDemand) < 0.03);
   // They see too few answers to compare response times.
-  CHECK(late(kByTimes) > 0.1);
+  CHECK(late(kByResponseTime) > 0.1);
 }
 
 TEST_CASE("flows stay in a zone that has room by demand, however few its slots",
           "[locality][demand]") {
-  const auto own_share = [](ReplayWay way) {
-    LoadReplay replay = start(way, {25, kUnequal}, {0.5, 0.3, 0.1});
+  const auto local_fraction = [](ReplayVariant variant) {
+    LoadReplay replay = start(variant, {25, kUnequal}, {0.5, 0.3, 0.1});
     replay.run(20);
-    CHECK(worstZone(replay, 20) < 0.01);
+    CHECK(maxZoneLateFraction(replay, 20) < 0.01);
     return replay.sum(3, 10).localFraction();
   };
   // What the largest weight gives to a tenth of the slots.
-  CHECK(own_share(kByDemand) > 0.8);
-  CHECK(own_share(kByTimes) < own_share(kByDemand) - 0.1);
+  CHECK(local_fraction(kByDemand) > 0.8);
+  CHECK(local_fraction(kByResponseTime) < local_fraction(kByDemand) - 0.1);
 }
 
 TEST_CASE("a burst of three times in one zone goes beyond within its first second",
           "[locality][demand]") {
-  const auto play = [](ReplayWay way, std::uint32_t nodes, std::uint64_t seed) {
-    LoadReplay replay = start(way, {nodes, kEqual, seed}, {0.4, 0.4, 0.4});
+  const auto play = [](ReplayVariant variant, std::uint32_t balancers, std::uint64_t seed) {
+    LoadReplay replay = start(variant, {balancers, kEqual, seed}, {0.4, 0.4, 0.4});
     replay.run(5);
     replay.load[1] = 1.2;
     replay.run(1);
@@ -141,18 +141,19 @@
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     LoadReplay replay = play(kByDemand, 8, seed);
-    CHECK(lateOfAll(replay, 1) < 0.05);
+    CHECK(totalLateFraction(replay, 1) < 0.05);
     replay.run(4);
-    CHECK(worstZone(replay, 4) < 0.02);
+    CHECK(maxZoneLateFraction(replay, 4) < 0.02);
     replay.load[1] = 0.4;
     replay.run(20);
-    CHECK(worstZone(replay, 20) < 0.01);
+    CHECK(maxZoneLateFraction(replay, 20) < 0.01);
     CHECK(replay.sum(1, 5).localFraction() > 0.93);
     // Where a balancer sees a dozen requests a second, later.
-    LoadReplay weak = play(kByDemand, 25, seed);
-    CHECK(lateOfAll(weak, 1) < 0.6 * lateOfAll(play(kByTimes, 25, seed), 1));
-    weak.run(4);
-    CHECK(worstZone(weak, 4) < 0.02);
+    LoadReplay low_rate = play(kByDemand, 25, seed);
+    CHECK(totalLateFraction(low_rate, 1) <
+          0.6 * totalLateFraction(play(kByResponseTime, 25, seed), 1));
+    low_rate.run(4);
+    CHECK(maxZoneLateFraction(low_rate, 4) < 0.02);
   }
 }
 
@@ -172,10 +173,10 @@
     }
     replay.apply();
     replay.run(1);
-    CHECK(worstZone(replay, 1) < 0.03);
+    CHECK(maxZoneLateFraction(replay, 1) < 0.03);
     CHECK(replay.sum(1, 1).localFraction() < 0.2);
     replay.run(9);
-    CHECK(worstZone(replay, 9) < 0.04);
+    CHECK(maxZoneLateFraction(replay, 9) < 0.04);
   }
 }
 
@@ -187,14 +188,14 @@
     replay.run(2);
     return replay;
   };
-  LoadReplay times = play(0);
+  LoadReplay by_response_time = play(0);
   LoadReplay half = play(0.5);
-  CHECK(lateOfAll(half, 2) < lateOfAll(times, 2) + 0.01);
+  CHECK(totalLateFraction(half, 2) < totalLateFraction(by_response_time, 2) + 0.01);
   LoadReplay twice = play(2);
-  CHECK(lateOfAll(twice, 2) < 0.03);
+  CHECK(totalLateFraction(twice, 2) < 0.03);
   for (LoadReplay* replay : {&half, &twice}) {
     replay->run(28);
-    CHECK(worstZone(*replay, 25) < 0.02);
+    CHECK(maxZoneLateFraction(*replay, 25) < 0.02);
   }
   CHECK(half.sum(2, 5).localFraction() > 0.5);
   CHECK(twice.sum(2, 5).localFraction() > 0.25);
@@ -205,38 +206,38 @@
   const auto play = [](double factor) {
     LoadReplay replay = start({LocalityMode::Adaptive, 50, factor}, {25, kEqual}, {0.45, 0.3, 0.3});
     replay.run(5);
-    for (std::uint32_t server = 100; server < 110; ++server) {
-      replay.servers[server].slowness = 2;
+    for (std::uint32_t id = 100; id < 110; ++id) {
+      replay.backend_fakes[id].slowdown = 2;
     }
     replay.run(10);
     return replay;
   };
   // The demand counts with the old service time: it must not hold the response times back.
   LoadReplay replay = play(1);
-  CHECK(lateOfAll(replay, 10) < lateOfAll(play(0), 10) + 0.01);
+  CHECK(totalLateFraction(replay, 10) < totalLateFraction(play(0), 10) + 0.01);
   replay.run(10);
-  CHECK(worstZone(replay, 10) < 0.02);
+  CHECK(maxZoneLateFraction(replay, 10) < 0.02);
 }
 
 TEST_CASE("in a zone that is cut off all flows stay with its servers, whatever the demand",
           "[locality][demand]") {
   LoadReplay replay = start(kByDemand, {25, kEqual}, {0.3, 0.3, 0.3});
   replay.run(3);
-  for (std::uint32_t server = 0; server < kServersOfZone; ++server) {
-    replay.suspicion.suspects.insert(200 + server);
-    replay.suspicion.suspects.insert(300 + server);
+  for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
+    replay.backend_health.suspects.insert(200 + index);
+    replay.backend_health.suspects.insert(300 + index);
   }
   replay.run(2);
   CHECK(replay.sum(1, 1).localFraction() == 1);
   CHECK(replay.sum(1, 2).refused == 0);
   // Where only the servers of the own zone are silent all go beyond.
-  replay.suspicion.suspects.clear();
+  replay.backend_health.suspects.clear();
   replay.run(5);
-  for (std::uint32_t server = 100; server < 110; ++server) {
-    replay.suspicion.suspects.insert(server);
+  for (std::uint32_t id = 100; id < 110; ++id) {
+    replay.backend_health.suspects.insert(id);
   }
   replay.run(2);
-  CHECK(replay.sum(1, 1).own == 0);
+  CHECK(replay.sum(1, 1).local == 0);
   CHECK(replay.sum(1, 1).refused == 0);
 }
 
@@ -245,14 +246,14 @@
   for (const double load : {0.8, 1.0, 1.3}) {
     INFO("load " << load);
     LoadReplay replay = start(kByDemand, {25, kEqual}, {load, load, load});
-    LoadReplay times = start(kByTimes, {25, kEqual}, {load, load, load});
+    LoadReplay by_response_time = start(kByResponseTime, {25, kEqual}, {load, load, load});
     replay.run(40);
-    times.run(40);
-    CHECK(lateOfAll(replay, 40) < lateOfAll(times, 40) + 0.02);
+    by_response_time.run(40);
+    CHECK(totalLateFraction(replay, 40) < totalLateFraction(by_response_time, 40) + 0.02);
     for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
       CHECK(replay.sum(zone, 20).localFraction() > 0.88);
-      const auto [most, least] = replay.range(zone, 20);
-      CHECK(most - least < 0.15);
+      const auto [max_fraction, min_fraction] = replay.localFractionRange(zone, 20);
+      CHECK(max_fraction - min_fraction < 0.15);
     }
   }
 }
@@ -260,19 +261,20 @@
 TEST_CASE("balancers of a zone stand alike, so that copies of an opening find the same server",
           "[locality][demand]") {
   // Mean of 20 seconds, of the two zones whose callers leave them.
-  const auto spread = [](ReplayWay way, const Servers& servers) {
-    LoadReplay replay = start(way, {25, servers}, {0.56, 0.56, 0.56});
+  const auto fractionDeviation = [](ReplayVariant variant, const BackendCounts& backend_counts) {
+    LoadReplay replay = start(variant, {25, backend_counts}, {0.56, 0.56, 0.56});
     replay.run(10);
     double sum = 0;
     for (int second = 0; second < 20; ++second) {
       replay.run(1);
-      sum += replay.spread(2) + replay.spread(3);
+      sum += replay.fractionDeviation(2) + replay.fractionDeviation(3);
     }
     return sum / 40;
   };
-  CHECK(spread(kByDemand, kUnequal) < 0.12);
-  CHECK(spread(kByDemand, kUnequal) < 0.6 * spread(kByTimes, kUnequal));
-  CHECK(spread(kByDemand, kEqual) < 0.06);
+  CHECK(fractionDeviation(kByDemand, kUnequal) < 0.12);
+  CHECK(fractionDeviation(kByDemand, kUnequal) <
+        0.6 * fractionDeviation(kByResponseTime, kUnequal));
+  CHECK(fractionDeviation(kByDemand, kEqual) < 0.06);
 }
 
 }  // namespace
--- a/tests/flow/placement_changes_test.cc
+++ b/tests/flow/placement_changes_test.cc
@@ -7,13 +7,13 @@
 namespace lugfork {
 namespace {
 
-constexpr std::uint32_t kBackEnds = 40;
+constexpr std::uint32_t kBackendCount = 40;
 
 /** A configuration that changes in place, and engines that place by it. */
 struct ChangingHarness {
   ChangingHarness() {
     setZones({kLac, kAriana});
-    for (std::uint32_t id = 1; id <= kBackEnds; ++id) {
+    for (std::uint32_t id = 1; id <= kBackendCount; ++id) {
       configuration->put(makeBackend(id, ServiceId(1), kLac));
     }
     engine.setRequestsInFlight(&in_flight);
@@ -28,7 +28,7 @@
 
   ConfigurationChanges anyChange() {
     ConfigurationChanges changes;
-    const auto id = static_cast<std::uint32_t>(1 + random->below(kBackEnds + 5));
+    const auto id = static_cast<std::uint32_t>(1 + random->below(kBackendCount + 5));
     if (random->below(5) == 0) {
       auto removed = configuration->take(BackendId(id));
       if (removed != nullptr) {
@@ -50,8 +50,8 @@
   }
 
   /** @return the id of the back end that an engine chooses; 0 for none. */
-  std::uint32_t place(PlacementEngine& placing, ServiceId service, std::uint64_t flow) const {
-    const auto placed = placing.place(*configuration->service(service), FlowId{1, flow});
+  std::uint32_t place(PlacementEngine& placement, ServiceId service, std::uint64_t flow) const {
+    const auto placed = placement.place(*configuration->service(service), FlowId{1, flow});
     return placed ? placed.value()->id.value() : 0;
   }
 
