--- a/tests/flow/bounded_rendezvous_policy_test.cc
+++ b/tests/flow/bounded_rendezvous_policy_test.cc
@@ -10,7 +10,7 @@
 namespace lugfork {
 namespace {
 
-/** Candidates with given loads and weights; counts how often a load is asked for. */
+/** Candidates with given loads and weights; counts how often a load is read. */
 class CandidatesFake : public CandidateSet {
  public:
   std::size_t size() const override { return backends.size(); }
@@ -28,7 +28,7 @@
   mutable std::size_t load_reads = 0;
 };
 
-/** The choice by its definition: of those within the bound the highest score. */
+/** Reference implementation: the highest score among the candidates within the load bound. */
 std::size_t referenceChoice(const CandidatesFake& candidates, const FlowId& flow) {
   double sum = 0;
   for (const double load : candidates.loads) {
@@ -60,7 +60,7 @@
   return candidates;
 }
 
-TEST_CASE("the choice is the highest score of those within the bound of load", "[rendezvous]") {
+TEST_CASE("the candidate with the highest score within the load bound is chosen", "[rendezvous]") {
   const auto random = makeSeededRandom(21);
   BoundedRendezvousPolicy policy;
   for (int trial = 0; trial < 2000; ++trial) {
@@ -71,14 +71,14 @@
   }
 }
 
-TEST_CASE("loads are only asked for where they may decide", "[rendezvous]") {
+TEST_CASE("loads are read only where they can affect the choice", "[rendezvous]") {
   const auto random = makeSeededRandom(22);
   BoundedRendezvousPolicy policy;
   const CandidatesFake idle = makeCandidates(3000, *random, false);
   for (std::uint64_t flow = 0; flow < 20; ++flow) {
     policy.choose(idle, {flow, 1}, *random);
   }
-  // Each best so far: about the logarithm of the number of candidates.
+  // A load is read for each new best score: about the logarithm of the number of candidates.
   CHECK(idle.load_reads < std::size_t{20} * 20);
 }
 
--- a/tests/flow/compact_token_test.cc
+++ b/tests/flow/compact_token_test.cc
@@ -8,15 +8,17 @@
 
 const CompactTokenKey kKey = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16};
 
-TEST_CASE("a compact token names the back end of its flow", "[compact_token]") {
-  rc::prop("decode undoes encode", [](std::uint64_t high, std::uint64_t low, std::uint32_t id) {
-    const CompactTokenCodec codec(kKey);
-    const FlowId flow{high, low};
-    RC_ASSERT(codec.decode(flow, codec.encode(flow, BackendId(id))) == BackendId(id));
-  });
+TEST_CASE("a compact token decodes to the backend of its flow", "[compact_token]") {
+  rc::prop("decode is the inverse of encode",
+           [](std::uint64_t high, std::uint64_t low, std::uint32_t id) {
+             const CompactTokenCodec codec(kKey);
+             const FlowId flow{high, low};
+             RC_ASSERT(codec.decode(flow, codec.encode(flow, BackendId(id))) == BackendId(id));
+           });
 }
 
-TEST_CASE("a compact token of another flow or key names another back end", "[compact_token]") {
+TEST_CASE("a compact token decoded for another flow or key names another backend",
+          "[compact_token]") {
   const CompactTokenCodec codec(kKey);
   const FlowId flow = flowIdOf({0x64400007, 40001}, {0xc6120001, 443});
   const FlowId other_port = flowIdOf({0x64400007, 40002}, {0xc6120001, 443});
@@ -27,7 +29,8 @@
   CHECK(CompactTokenCodec(CompactTokenKey{}).decode(flow, token) != BackendId(7));
 }
 
-TEST_CASE("ids of more than 32 bits are folded", "[compact_token]") {
+TEST_CASE("server ids that differ only above 32 bits get different backend ids",
+          "[compact_token]") {
   CHECK(backendIdOfServer(0xf3030f7cad) != backendIdOfServer(0x030f7cad));
   CHECK(backendIdOfServer(0xf3030f7cad) == backendIdOfServer(0xf3030f7cad));
 }
--- a/tests/flow/flow_router_test.cc
+++ b/tests/flow/flow_router_test.cc
@@ -11,7 +11,7 @@
 
 const FlowKey kKey{{1, 2}, 0};
 
-TEST_CASE("an Open that can't be placed is refused at once, with a time to come back") {
+TEST_CASE("an Open that can't be placed is rejected at once with a retry delay") {
   struct Row {
     const char* name;
     Reason reason;
@@ -21,9 +21,9 @@
   const auto nothing = [](RouterHarness&) {};
   const Row rows[] = {
       {"unknown service", Reason::UnknownService, kUnknownEndpoint, nothing},
-      {"node blocked", Reason::ViewNotFresh, kListen,
+      {"placement blocked", Reason::ViewNotFresh, kListen,
        [](RouterHarness& harness) { harness.blocked_by = Reason::ViewNotFresh; }},
-      {"only candidate is in a zone not allowed", Reason::NoBackendInAllowedZones, kListen,
+      {"only backend is in a zone that is not allowed", Reason::NoBackendInAllowedZones, kListen,
        [](RouterHarness& harness) {
          Configuration configuration = twoServices(11);
          configuration.backends.erase(configuration.backends.begin(),
@@ -51,11 +51,11 @@
   const char* name;
   Expected expected;
   Reason reason;
-  /** Changes the datagram or the harness between placement and forwarding. */
+  /** Modifies the datagram or the harness between placement and forwarding. */
   std::function<void(RouterHarness&, Data&)> fault;
 };
 
-/** Gives the router that configuration, made from the harness's own. */
+/** Sets a modified copy of the harness's configuration. */
 auto reconfigure(std::uint64_t version, const std::function<void(Configuration&)>& change) {
   return [version, change](RouterHarness& harness, Data&) {
     Configuration configuration = twoServices(version);
@@ -85,9 +85,9 @@
   std::swap(configuration.services[0].address, configuration.services[1].address);
 }
 
-TEST_CASE("a datagram goes to the back end that its token names, or nowhere") {
+TEST_CASE("a datagram is forwarded to the backend named by its token, or reset, or dropped") {
   const TokenRow rows[] = {
-      {"nothing wrong", Expected::Forwarded, Reason::None, [](RouterHarness&, Data&) {}},
+      {"valid token", Expected::Forwarded, Reason::None, [](RouterHarness&, Data&) {}},
       {"one bit of the token changed", Expected::Reset, Reason::TokenInvalid,
        [](RouterHarness&, Data& data) { data.token[20] ^= 1; }},
       {"no token", Expected::Reset, Reason::TokenInvalid,
@@ -98,30 +98,32 @@
        [](RouterHarness&, Data& data) { ++data.key.attempt; }},
       {"addressed to another service", Expected::Reset, Reason::TokenForOtherService,
        [](RouterHarness&, Data& data) { data.service = kIngest; }},
-      {"key not known here", Expected::Dropped, Reason::None,
+      {"unknown key", Expected::Dropped, Reason::None,
        reconfigure(10, [](Configuration& c) { c.keys[0].id = KeyId(9); })},
-      {"back end draining", Expected::Forwarded, Reason::None,
+      {"backend draining", Expected::Forwarded, Reason::None,
        reconfigure(
            11, [](Configuration& c) { forEachBackend(c, [](auto& b) { b.draining = true; }); })},
-      {"back end removed", Expected::Forwarded, Reason::None,
+      {"backend removed", Expected::Forwarded, Reason::None,
        reconfigure(11, [](Configuration& c) { c.backends.clear(); })},
-      {"address reused by another back end", Expected::Reset, Reason::BackendGone,
+      {"address reused by another backend", Expected::Reset, Reason::BackendGone,
        reconfigure(11, reuseAddresses)},
-      {"back end moved", Expected::Reset, Reason::BackendGone, reconfigure(11, moveBackends)},
+      {"backend address changed", Expected::Reset, Reason::BackendGone,
+       reconfigure(11, moveBackends)},
       {"zone no longer allowed", Expected::Reset, Reason::ZoneNotAllowed,
        reconfigure(11, allowOnlyAriana)},
       {"service removed", Expected::Reset, Reason::TokenForOtherService,
        reconfigure(11, [](Configuration& c) { c.services.erase(c.services.begin()); })},
-      // This balancer is behind: what it knows must not break a flow that the rest serves.
-      {"service not known yet", Expected::Dropped, Reason::None,
+      // An outdated configuration must not break a flow that other balancers still forward.
+      {"service not declared yet", Expected::Dropped, Reason::None,
        reconfigure(9, [](Configuration& c) { c.services.erase(c.services.begin()); })},
       {"zone not allowed yet", Expected::Dropped, Reason::None, reconfigure(9, allowOnlyAriana)},
-      {"back end not moved yet", Expected::Dropped, Reason::None, reconfigure(9, moveBackends)},
-      {"address still of a former back end", Expected::Dropped, Reason::None,
+      {"backend address not changed yet", Expected::Dropped, Reason::None,
+       reconfigure(9, moveBackends)},
+      {"address still assigned to an earlier backend", Expected::Dropped, Reason::None,
        reconfigure(9, reuseAddresses)},
-      {"service not moved yet", Expected::Dropped, Reason::None,
+      {"service address not changed yet", Expected::Dropped, Reason::None,
        reconfigure(9, swapServiceAddresses)},
-      {"back end not declared yet", Expected::Forwarded, Reason::None,
+      {"backend not declared yet", Expected::Forwarded, Reason::None,
        reconfigure(9, [](Configuration& c) { c.backends.clear(); })},
   };
   for (const TokenRow& row : rows) {
@@ -151,7 +153,7 @@
   }
 }
 
-TEST_CASE("a token starts work only within the placement lifetime") {
+TEST_CASE("a token may start work only within the placement TTL") {
   struct Row {
     Duration age;
     ForwardMode mode;
@@ -171,7 +173,7 @@
   }
 }
 
-TEST_CASE("acknowledgements and cancellations follow the token, also when sprayed") {
+TEST_CASE("acknowledgements and cancellations are forwarded by token, also through the fabric") {
   RouterHarness harness;
   const TokenBytes token = harness.open(kKey);
   const Datagram datagrams[] = {AnswerAck{kListen, kKey, token, 3}, Cancel{kListen, kKey, token}};
@@ -191,7 +193,8 @@
   return {kClient, kKey, ServiceId(1), BackendId(backend), reason, not_run, 700};
 }
 
-TEST_CASE("a back end's refusal is learned from and relayed with another placement") {
+TEST_CASE(
+    "a backend's refusal is recorded and forwarded with a replacement if a retry is allowed") {
   struct Row {
     Reason reason;
     bool replaced;
@@ -224,7 +227,7 @@
   }
 }
 
-TEST_CASE("a refusal that is not certain becomes a reset, never a second placement") {
+TEST_CASE("a refusal of work that may have run is forwarded as a reset without a replacement") {
   RouterHarness harness;
   harness.receive(refusalBy(1, Reason::BackendGone, false), addressOf(1));
   const auto reset = harness.takeOnly<Reset>();
@@ -232,7 +235,7 @@
   CHECK(reset->reason == Reason::BackendGone);
 }
 
-TEST_CASE("a refusal from an address that is not the back end's is neither believed nor relayed") {
+TEST_CASE("a refusal that does not match its backend's address and service is dropped") {
   RouterHarness harness;
   harness.receive(refusalBy(1, Reason::Draining, true), kUnknownEndpoint);
   CHECK(harness.sent.empty());
@@ -242,12 +245,13 @@
   other_service.service = ServiceId(2);
   harness.receive(other_service, addressOf(1));
   CHECK(harness.sent.empty());
-  // A back end that is no longer declared still tells its callers what became of their requests.
+  // A backend that is no longer declared may still refuse requests of its clients.
   harness.receive(refusalBy(77, Reason::Draining, true), addressOf(77));
   CHECK(harness.takeOnly<Refused>());
 }
 
-TEST_CASE("copies of one refusal get one replacement, and the retry budget limits replacements") {
+TEST_CASE(
+    "duplicates of a refusal get the same replacement, and the retry budget limits replacements") {
   RouterHarness harness;
   harness.receive(refusalBy(1, Reason::Overloaded, true), addressOf(1));
   const auto first = harness.takeOnly<Refused>();
@@ -265,7 +269,7 @@
   CHECK(harness.router.counters().replacements_over_budget == 51);
 }
 
-TEST_CASE("a blocked node relays a refusal without another placement") {
+TEST_CASE("a balancer that may not place flows forwards a refusal without a replacement") {
   RouterHarness harness;
   harness.blocked_by = Reason::Joining;
   harness.receive(refusalBy(1, Reason::Overloaded, true), addressOf(1));
--- a/tests/flow/load_replay.h
+++ b/tests/flow/load_replay.h
@@ -10,7 +10,7 @@
 #include "flow/router_harness.h"
 #include "load/zone_demand.h"
 
-/** Zones of callers, balancers and servers with queues, in steps of a millisecond. */
+/** Simulation of zones with clients, balancers and backends with queues, in steps of 1 ms. */
 namespace lugfork {
 
 inline constexpr std::uint32_t kReplayZones = 3;
@@ -18,16 +18,16 @@
 inline constexpr std::uint32_t kBalancersPerZone = 20;
 inline constexpr std::uint32_t kSlotsPerBackend = 2;
 inline constexpr double kServiceTimeMs = 25;
-/** Flows a second that fill the slots of one zone. */
+/** Rate of flows that keeps all slots of one zone busy [1/s]. */
 inline constexpr double kZoneCapacityPerSecond =
     kBackendsPerZone * kSlotsPerBackend * 1000 / kServiceTimeMs;
 
-/** One server: works on a few requests at once, queues a few more and refuses the rest at once. */
+/** A backend: serves a few requests at once, queues a few more and refuses the rest. */
 class BackendFake {
  public:
   static constexpr std::size_t kQueueCapacity = 8;
 
-  /** @return time until the answer; a refusal comes after 1 ms. */
+  /** @return time until the answer; 1 ms for a refusal. */
   Duration serve(MonotonicTime now, Duration service_time) {
     while (!ends_.empty() && ends_.top() <= now) {
       ends_.pop();
@@ -50,13 +50,13 @@
   std::priority_queue<MonotonicTime, std::vector<MonotonicTime>, std::greater<>> ends_;
 };
 
-/** Servers that every node suspects. */
+/** Backends that every balancer suspects. */
 struct BackendHealthFake : BackendHealth {
   bool isSuspect(BackendId backend) const override { return suspects.count(backend.value()) > 0; }
   std::set<std::uint32_t> suspects;
 };
 
-/** What became of the flows of one zone's callers in one second. */
+/** Results of the flows of one zone's clients in one second. */
 struct ZoneSample {
   int flows = 0;
   int local = 0;
@@ -65,15 +65,15 @@
   double localFraction() const { return flows == 0 ? 1 : static_cast<double>(local) / flows; }
 };
 
-/** Which way the own zone is weighed. */
+/** How the weight of the local zone is computed. */
 struct ReplayVariant {
   LocalityMode mode = LocalityMode::Adaptive;
   double weight = 50;
-  /** Service time that a balancer believes, over the true one; 0: the zone's demand isn't asked. */
+  /** Ratio of the estimated service time to the true one; 0: the zone's demand is unknown. */
   double service_time_factor = 0;
 };
 
-/** Balancers and servers of each zone. */
+/** Balancers and backends of each zone. */
 struct ReplayTopology {
   std::uint32_t balancers_per_zone = kBalancersPerZone;
   std::array<std::uint32_t, kReplayZones> backend_counts = {kBackendsPerZone, kBackendsPerZone,
@@ -85,7 +85,7 @@
  public:
   static constexpr Duration kTargetLatency = milliseconds(100);
 
-  /** @param balancers_per_zone balancers in each zone: with many, each sees few flows. */
+  /** @param balancers_per_zone with many balancers, each sees few flows. */
   explicit LoadReplay(ReplayVariant variant, std::uint32_t balancers_per_zone = kBalancersPerZone)
       : LoadReplay(variant, ReplayTopology{balancers_per_zone}) {}
 
@@ -108,7 +108,7 @@
     apply();
   }
 
-  /** Puts the changed configuration into force. */
+  /** Applies the changed configuration to all balancers. */
   void apply() {
     view_ = viewOf(configuration);
     for (auto& [zone, balancers] : balancers_) {
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Lets time pass; then seconds.back() holds what became of the last. */
+  /** Simulates that many seconds; seconds_.back() then holds the results of the last one. */
   void run(int count) {
     for (int second = 0; second < count; ++second) {
       seconds_.push_back({});
@@ -129,7 +129,7 @@
     }
   }
 
-  /** @return the sum over the last seconds. */
+  /** @return the sum over the last count seconds. */
   ZoneSample sum(std::uint32_t zone, std::size_t count) const {
     ZoneSample total;
     for (std::size_t index = seconds_.size() - count; index < seconds_.size(); ++index) {
@@ -142,7 +142,7 @@
     return total;
   }
 
-  /** @return largest and smallest share of the own zone in the last seconds. */
+  /** @return maximum and minimum local fraction of a second among the last count seconds. */
   std::pair<double, double> localFractionRange(std::uint32_t zone, std::size_t count) const {
     std::pair<double, double> found{0, 1};
     for (std::size_t index = seconds_.size() - count; index < seconds_.size(); ++index) {
@@ -152,13 +152,13 @@
     return found;
   }
 
-  /** @return flows that a server got in the last second. */
+  /** @return flows placed on a backend in the last second. */
   int placedOn(std::uint32_t id) const {
     const auto found = placed_by_backend_.find(id);
     return found == placed_by_backend_.end() ? 0 : found->second;
   }
 
-  /** @return standard deviation of the own zone's share by weight among a zone's balancers. */
+  /** @return standard deviation of the local fraction by weight among the balancers of a zone. */
   double fractionDeviation(std::uint32_t zone) const {
     const auto& balancers = balancers_.at(zone);
     double sum = 0;
@@ -182,7 +182,7 @@
   BackendHealthFake backend_health;
   Configuration configuration = twoServices();
   std::map<std::uint32_t, BackendFake> backend_fakes;
-  /** Flows a second of each zone's callers, as a share of kZoneCapacity. */
+  /** Rate of flows of each zone's clients, as a fraction of kZoneCapacityPerSecond. */
   std::map<std::uint32_t, double> load;
 
  private:
@@ -251,7 +251,7 @@
     }
     for (auto& [zone, balancers] : balancers_) {
       const double expected = load[zone] * kZoneCapacityPerSecond / 1000;
-      // Arrivals by chance: at most four in a millisecond.
+      // Random arrivals, at most four per millisecond.
       for (int chance = 0; chance < 4; ++chance) {
         if (random_->unit() < expected / 4) {
           open(zone, *balancers[random_->below(balancers.size())]);
--- a/tests/flow/locality_demand_test.cc
+++ b/tests/flow/locality_demand_test.cc
@@ -4,13 +4,13 @@
 #include "flow/locality_router.h"
 #include "flow/router_harness.h"
 
-/** The own zone's share by the demand of its callers, at one router. */
+/** The local fraction by the demand of the local clients, at a single router. */
 namespace lugfork {
 namespace {
 
 constexpr ServiceId kFeed{1};
 
-/** One router, of a zone with a tenth of 240 slots. */
+/** A router of a zone with a tenth of 240 slots. */
 struct DemandRouterHarness {
   DemandRouterHarness() : router(make(), time, log) {}
 
@@ -28,7 +28,7 @@
     return router.localFraction(kFeed);
   }
 
-  /** Lets half seconds pass, each with some answers from both sides. */
+  /** Advances the time by half seconds, each with local and remote answers. */
   void advance(int half_seconds, double demand, int local_ms, int remote_ms) {
     for (int half_second = 0; half_second < half_seconds; ++half_second) {
       for (int answer = 0; answer < 10; ++answer) {
@@ -46,7 +46,8 @@
   LocalityRouter router;
 };
 
-TEST_CASE("a zone keeps what fills its slots to the target, at once", "[locality][demand]") {
+TEST_CASE("the local fraction follows the demand and the usable slots at once",
+          "[locality][demand]") {
   struct Row {
     const char* name;
     double local_usable_slots;
@@ -55,10 +56,10 @@
     double min_fraction;
   };
   const Row rows[] = {
-      {"few callers stay, however few the slots", 24, 12, 0.85, 0.84},
-      {"just at the target", 24, 16.8, 0.85, 0.84},
-      {"twice the target", 24, 33.6, 0.5, 0.43},
-      {"more than all slots of all zones", 24, 400, 0.101, 0.099},
+      {"low demand in a zone with few slots", 24, 12, 0.85, 0.84},
+      {"demand at the target utilisation", 24, 16.8, 0.85, 0.84},
+      {"demand at twice the target", 24, 33.6, 0.5, 0.43},
+      {"demand above all slots of all zones", 24, 400, 0.101, 0.099},
       {"half of the slots lost", 12, 16.8, 0.5, 0.43},
       {"all slots lost", 0, 1, 0.101, 0.099},
   };
@@ -75,7 +76,8 @@
   }
 }
 
-TEST_CASE("a demand that is not known leaves the share to the slots", "[locality][demand]") {
+TEST_CASE("with unknown demand the local fraction depends on the usable slots",
+          "[locality][demand]") {
   DemandRouterHarness harness;
   const double by_slots = harness.assess(0);
   CHECK(by_slots < 0.65);
@@ -91,7 +93,8 @@
   CHECK(harness.router.localFraction(kFeed) == Approx(by_slots));
 }
 
-TEST_CASE("a demand that wavers by a tenth does not move the share", "[locality][demand]") {
+TEST_CASE("fluctuations of the demand by a tenth do not change the local fraction",
+          "[locality][demand]") {
   for (const double mean : {16.8, 20.0, 30.0, 60.0}) {
     INFO("demand " << mean);
     DemandRouterHarness harness;
@@ -105,7 +108,7 @@
   }
 }
 
-TEST_CASE("callers who leave are followed back", "[locality][demand]") {
+TEST_CASE("when the demand falls, flows return to the local zone", "[locality][demand]") {
   DemandRouterHarness harness;
   harness.assess(60);
   REQUIRE(harness.router.localFraction(kFeed) < 0.35);
@@ -117,32 +120,31 @@
   CHECK(harness.router.cause(kFeed) == OverflowCause::None);
 }
 
-TEST_CASE("where all zones answer alike, what demand sends beyond comes back",
+TEST_CASE("overflow by demand is reduced if response times of all zones are equal",
           "[locality][demand]") {
   DemandRouterHarness harness;
   harness.assess(40);
   REQUIRE(harness.router.localFraction(kFeed) < 0.5);
   harness.advance(120, 40, 80, 80);
   CHECK(harness.router.weight(kFeed, false) == 50);
-  // More callers than that count at once again.
+  // A further rise of the demand takes effect at once again.
   harness.assess(80);
   CHECK(harness.router.localFraction(kFeed) < 0.8);
   CHECK(harness.router.cause(kFeed) == OverflowCause::Demand);
 }
 
-TEST_CASE("where others answer earlier, what demand sends beyond stays there",
-          "[locality][demand]") {
+TEST_CASE("overflow by demand is kept while other zones answer faster", "[locality][demand]") {
   DemandRouterHarness harness;
   const double local_fraction = harness.assess(40);
   harness.advance(120, 40, 36, 30);
   CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
-  // Response times go on from there.
+  // Slower local response times increase the overflow further.
   harness.advance(10, 40, 80, 30);
   CHECK(harness.router.localFraction(kFeed) < local_fraction);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
 }
 
-TEST_CASE("few answers take nothing back that demand sends beyond", "[locality][demand]") {
+TEST_CASE("overflow by demand is kept while there are too few answers", "[locality][demand]") {
   DemandRouterHarness harness;
   const double local_fraction = harness.assess(40);
   for (int step = 0; step < 300; ++step) {
--- a/tests/flow/locality_load_test.cc
+++ b/tests/flow/locality_load_test.cc
@@ -2,7 +2,7 @@
 
 #include "flow/load_replay.h"
 
-/** The own zone's share under load: three alike zones of twenty balancers and ten servers each. */
+/** The local fraction under load, in three equal zones of twenty balancers and ten backends. */
 namespace lugfork {
 namespace {
 
@@ -20,7 +20,7 @@
   return static_cast<double>(sum.late + sum.refused) / sum.flows;
 }
 
-TEST_CASE("with all zones near the limit or beyond it the shares neither swing nor drift apart",
+TEST_CASE("local fractions are stable with all zones near or above their capacity",
           "[locality][load]") {
   for (const double load : {0.5, 0.8, 1.0, 1.3}) {
     INFO("load " << load);
@@ -32,13 +32,13 @@
       const auto [max_fraction, min_fraction] = replay.localFractionRange(zone, 30);
       CHECK(min_fraction > 0.8);
       CHECK(max_fraction - min_fraction < 0.15);
-      // Not served worse than with flows spread over the zones, but for chance.
+      // Not slower than with flows spread over the zones, within the noise.
       CHECK(lateFraction(replay.sum(zone, 30)) < lateFraction(even.sum(zone, 30)) + 0.06);
     }
   }
 }
 
-TEST_CASE("a zone's last server is not run over by its zone", "[locality][load]") {
+TEST_CASE("the last backend of a zone is not overloaded by local flows", "[locality][load]") {
   const auto after = [](ReplayVariant variant) {
     LoadReplay replay = evenLoad(variant, 0.4);
     replay.run(5);
@@ -50,11 +50,11 @@
     return replay.sum(1, 5);
   };
   CHECK(lateFraction(after(kAdaptive)) < 0.02);
-  // The replay tells the ways apart.
+  // Control: with a constant weight the backend is overloaded.
   CHECK(lateFraction(after(kConstant50)) > 0.1);
 }
 
-TEST_CASE("what a zone of half slow servers can't take in time goes beyond", "[locality][load]") {
+TEST_CASE("flows overflow from a zone in which half of the backends are slow", "[locality][load]") {
   const auto play = [](ReplayVariant variant) {
     LoadReplay replay = evenLoad(variant, 0.6);
     replay.run(5);
@@ -68,7 +68,7 @@
   LoadReplay constant = play(kConstant50);
   CHECK(adaptive.sum(1, 15).refused * 10 < constant.sum(1, 15).refused);
   CHECK(lateFraction(adaptive.sum(1, 15)) < 0.6 * lateFraction(constant.sum(1, 15)));
-  // The other zones bear it.
+  // The other zones have enough capacity for the overflow.
   CHECK(lateFraction(adaptive.sum(2, 15)) < 0.03);
   for (std::uint32_t id = 100; id < 105; ++id) {
     adaptive.backend_fakes[id].slowdown = 1;
@@ -77,7 +77,7 @@
   CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
 }
 
-TEST_CASE("clients that move to a zone are served by the others too, and not for longer",
+TEST_CASE("flows overflow while clients concentrate in one zone, and return afterwards",
           "[locality][load]") {
   const auto play = [](ReplayVariant variant) {
     LoadReplay replay = evenLoad(variant, 0.5);
@@ -96,7 +96,7 @@
   CHECK(adaptive.sum(1, 5).localFraction() > 0.93);
 }
 
-TEST_CASE("balancers that see a dozen flows a second follow a move of clients too",
+TEST_CASE("balancers with a dozen flows per second detect that clients concentrate in one zone",
           "[locality][load]") {
   const auto play = [](ReplayVariant variant) {
     LoadReplay replay(variant, 60);
@@ -111,7 +111,7 @@
   CHECK(lateFraction(play(kConstant50).sum(1, 15)) > 0.4);
 }
 
-TEST_CASE("with all servers of the own zone suspect every flow goes beyond, and comes back slowly",
+TEST_CASE("all flows leave a zone whose backends are suspect, and return slowly on recovery",
           "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.3);
   replay.run(3);
@@ -123,13 +123,13 @@
   CHECK(replay.sum(1, 1).refused == 0);
   replay.backend_health.suspects.clear();
   replay.run(2);
-  // Its servers get their even part first.
+  // Its backends first receive flows by their slots alone.
   CHECK(replay.sum(1, 1).localFraction() < 0.5);
   replay.run(25);
   CHECK(replay.sum(1, 2).localFraction() > 0.93);
 }
 
-TEST_CASE("in a zone that is cut off nearly all flows stay with its servers", "[locality][load]") {
+TEST_CASE("in a partitioned zone flows stay with the local backends", "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.3);
   replay.run(3);
   for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
@@ -138,7 +138,7 @@
   }
   replay.run(2);
   CHECK(replay.sum(1, 1).localFraction() == 1);
-  // A node whose own zone's servers are silent too learns nothing from that.
+  // If the local backends are suspect too, suspicion is ignored.
   for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
     replay.backend_health.suspects.insert(100 + index);
   }
@@ -146,7 +146,8 @@
   CHECK(replay.sum(1, 1).refused == 0);
 }
 
-TEST_CASE("at a release of a zone's servers none of them gets a crowd", "[locality][load]") {
+TEST_CASE("a rolling restart of a zone's backends does not overload any of them",
+          "[locality][load]") {
   LoadReplay replay = evenLoad(kAdaptive, 0.4);
   replay.run(5);
   const double mean_flows = 0.4 * kZoneCapacityPerSecond / kBackendsPerZone;
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -10,7 +10,7 @@
 
 constexpr ServiceId kFeed{1};
 
-/** One router, of a zone with a third of the slots. */
+/** A router of a zone with a third of the slots. */
 struct LocalityHarness {
   explicit LocalityHarness(LocalityMode mode = LocalityMode::Adaptive)
       : router(make(mode), time, log) {
@@ -30,12 +30,12 @@
     router.assess(service, capacity);
   }
 
-  /** Lets that many half seconds pass, each with some answers from both sides. */
+  /** Advances the time by half seconds, each with local and remote answers. */
   void advance(int half_seconds, int local_ms, int remote_ms) {
     for (int half_second = 0; half_second < half_seconds; ++half_second) {
       for (int answer = 0; answer < 10; ++answer) {
         time.elapsed += milliseconds(50);
-        // Spread as work of one kind is: by a third around its mean.
+        // Durations vary by a third around the mean, as typical of one kind of work.
         router.onResponse(kFeed, true, milliseconds(local_ms * (answer % 2 == 0 ? 4 : 2) / 3));
         router.onResponse(kFeed, false, milliseconds(remote_ms * (answer % 2 == 0 ? 4 : 2) / 3));
       }
@@ -49,21 +49,21 @@
   LocalityRouter router;
 };
 
-TEST_CASE("a zone with its part of the slots has the largest weight", "[locality]") {
+TEST_CASE("a zone with a third of the slots of three zones has the maximum weight", "[locality]") {
   LocalityHarness harness;
   CHECK(harness.router.weight(kFeed, false) == 50);
   CHECK(harness.router.weight(kFeed, true) == 80);
   CHECK(harness.router.cause(kFeed) == OverflowCause::None);
-  // Services that were never assessed, too.
+  // The same for services that were never assessed.
   CHECK(harness.router.weight(ServiceId(9), false) == 50);
 }
 
-TEST_CASE("the own zone has the largest weight once no other zone has slots", "[locality]") {
+TEST_CASE("the local zone has the maximum weight when no other zone has slots", "[locality]") {
   LocalityHarness harness;
   harness.advance(6, 100, 20);
   REQUIRE(harness.router.weight(kFeed, false) < 50);
   harness.capacity = {40, 40, 40, 40, 3};
-  // Late answers of the own zone, beside what is remembered of the others, move nothing now.
+  // Slow local answers compared with earlier remote ones have no effect now.
   for (int answer = 0; answer < 40; ++answer) {
     harness.time.elapsed += milliseconds(50);
     harness.router.onResponse(kFeed, true, milliseconds(100));
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("the own zone's share follows its usable slots at once, and back step by step",
+TEST_CASE("loss of usable slots lowers the local fraction at once, and it recovers stepwise",
           "[locality]") {
   struct Row {
     const char* name;
@@ -83,10 +83,10 @@
     double min_fraction;
   };
   const Row rows[] = {
-      {"half of the slots carry the zone's part at common loads", 20, 100, 1, 0.95},
-      {"a quarter does not", 10, 90, 0.70, 0.55},
-      {"one server of forty", 1, 81, 0.35, 0.33},
-      {"none that answers", 0, 80, 0.35, 0.33},
+      {"half of the local slots usable", 20, 100, 1, 0.95},
+      {"a quarter of the local slots usable", 10, 90, 0.70, 0.55},
+      {"one slot of forty usable", 1, 81, 0.35, 0.33},
+      {"no local slot usable", 0, 80, 0.35, 0.33},
   };
   for (const Row& row : rows) {
     INFO(row.name);
@@ -99,7 +99,7 @@
     CHECK(local_fraction >= row.min_fraction);
     harness.capacity = LocalityCapacity{40, 40, 120, 120, 3};
     harness.assess();
-    // Callers must not all come at once to a zone that is just back.
+    // A zone that has just recovered must not receive all its flows at once.
     CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
     harness.advance(60, 30, 30);
     CHECK(harness.router.weight(kFeed, false) == 50);
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("with the constant mode neither slots nor times change the weight", "[locality]") {
+TEST_CASE("in constant mode neither slots nor response times change the weight", "[locality]") {
   LocalityHarness harness(LocalityMode::Constant);
   harness.capacity.local_usable_slots = 1;
   harness.assess();
@@ -115,8 +115,7 @@
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("late answers of the own zone send flows beyond, in time ones bring them back",
-          "[locality]") {
+TEST_CASE("slow local answers lower the local fraction, and faster ones restore it", "[locality]") {
   LocalityHarness harness;
   harness.advance(4, 45, 30);
   const double first = harness.router.localFraction(kFeed);
@@ -124,14 +123,14 @@
   CHECK(first > 0.5);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
   harness.advance(30, 60, 30);
-  // Never fewer than the zone's slots would get by themselves.
+  // Never below the zone's fraction of the slots.
   CHECK(harness.router.localFraction(kFeed) == Approx(1.0 / 3));
   CHECK(harness.router.weight(kFeed, true) == Approx(1));
   harness.advance(60, 30, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("differences that tell nothing leave the share where it is", "[locality]") {
+TEST_CASE("insignificant differences of response times do not change the weight", "[locality]") {
   struct Row {
     const char* name;
     int local_ms;
@@ -141,7 +140,7 @@
       {"as fast as others", 30, 30},
       {"faster than others", 30, 60},
       {"a little slower", 36, 30},
-      {"twice as slow, but by less than anyone notices", 9, 5},
+      {"twice as slow, but below the minimum gain", 9, 5},
   };
   for (const Row& row : rows) {
     INFO(row.name);
@@ -151,7 +150,7 @@
   }
 }
 
-TEST_CASE("refusals of full queues do not make the own zone look fast", "[locality]") {
+TEST_CASE("refusals by full queues are not counted as fast local answers", "[locality]") {
   LocalityHarness harness;
   for (int half_second = 0; half_second < 20; ++half_second) {
     harness.advance(1, 90, 30);
@@ -163,7 +162,7 @@
   CHECK(harness.router.localFraction(kFeed) < 0.4);
 }
 
-TEST_CASE("a service that becomes much faster is known as fast again", "[locality]") {
+TEST_CASE("the typical response time follows a service that becomes much faster", "[locality]") {
   LogTimeStatistics times(milliseconds(1500));
   MonotonicTime now{seconds(100)};
   const auto answer = [&](int count, Duration duration) {
@@ -178,7 +177,7 @@
   CHECK(times.typicalMs() == Approx(30).epsilon(0.05));
 }
 
-TEST_CASE("few answers are no reason to send flows beyond", "[locality]") {
+TEST_CASE("too few answers do not change the weight", "[locality]") {
   LocalityHarness harness;
   for (int half_second = 0; half_second < 20; ++half_second) {
     harness.time.elapsed += milliseconds(500);
@@ -191,7 +190,7 @@
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("a share between the bounds stands still", "[locality]") {
+TEST_CASE("the local fraction is stable while the ratio is within the hysteresis", "[locality]") {
   LocalityHarness harness;
   harness.advance(4, 45, 30);
   const double local_fraction = harness.router.localFraction(kFeed);
@@ -202,9 +201,10 @@
   CHECK(harness.router.localFraction(kFeed) == Approx(later));
 }
 
-TEST_CASE("a step back that makes the zone late again is tried again less often", "[locality]") {
+TEST_CASE("a reduction of the overflow that makes the zone slower is retried less often",
+          "[locality]") {
   LocalityHarness harness;
-  // The zone is in time up to a share of 0.8.
+  // The zone is slower above a local fraction of 0.8.
   int changes = 0;
   double last = harness.router.localFraction(kFeed);
   for (int half_second = 0; half_second < 240; ++half_second) {
@@ -216,11 +216,11 @@
     }
     last = harness.router.localFraction(kFeed);
   }
-  // In the last minute.
+  // Number of changes in the last minute.
   CHECK(changes < 30);
 }
 
-/** 120 idle servers, each third in the own zone. */
+/** 120 idle backends, every third of them in the local zone. */
 struct IdleBackends : CandidateSet {
   explicit IdleBackends(double initial_weight) : local_weight(initial_weight) {
     for (std::uint32_t id = 1; id <= 120; ++id) {
@@ -238,7 +238,7 @@
   double local_weight;
 };
 
-TEST_CASE("balancers whose shares differ by a step place nearly all flows alike", "[locality]") {
+TEST_CASE("balancers one level apart choose the same backend for nearly all flows", "[locality]") {
   const auto random = makeSeededRandom(5);
   LocalityHarness harness;
   BoundedRendezvousPolicy policy;
@@ -261,7 +261,7 @@
   }
 }
 
-TEST_CASE("flows are counted by where they go and why", "[locality]") {
+TEST_CASE("placed flows are counted by zone and cause", "[locality]") {
   LocalityHarness harness;
   harness.router.onPlaced(kFeed, true);
   harness.router.onPlaced(kFeed, false);
--- a/tests/flow/overflow_by_demand_test.cc
+++ b/tests/flow/overflow_by_demand_test.cc
@@ -3,8 +3,9 @@
 #include "flow/load_replay.h"
 
 /**
- * Overflow by the demand of the own zone. A zone's even part is 20 slots of 60; a balancer of 25 in
- * a zone sees 13 to 50 requests a second, one of eight 40 to 150, one of 300 one or two.
+ * Overflow by the demand of the local zone, in three zones with 60 slots together, 20 of them per
+ * zone if distributed evenly. A balancer sees 13 to 50 requests per second with 25 balancers per
+ * zone, 40 to 150 with eight and one or two with 300.
  */
 namespace lugfork {
 namespace {
@@ -34,7 +35,7 @@
   return static_cast<double>(sum.late + sum.refused) / std::max(sum.flows, 1);
 }
 
-/** @return late or refused share of all zones' flows in the last seconds. */
+/** @return fraction of all zones' flows in the last count seconds that were late or refused. */
 double totalLateFraction(const LoadReplay& replay, std::size_t count) {
   ZoneSample total;
   for (std::uint32_t zone = 1; zone <= kReplayZones; ++zone) {
@@ -54,7 +55,7 @@
   return max_fraction;
 }
 
-TEST_CASE("unequal zones serve even callers in time from the first second on",
+TEST_CASE("zones of unequal capacity are balanced by demand from the first second on",
           "[locality][demand]") {
   struct Row {
     const char* name;
@@ -63,10 +64,10 @@
     double first_second;
   };
   const Row rows[] = {
-      {"21, 6 and 3 servers, callers even", kUnequal, {0.56, 0.56, 0.56}, 0.03},
-      {"3, 3 and 24 servers, callers even", {3, 3, 24}, {0.56, 0.56, 0.56}, 0.06},
-      {"most callers where most servers are", kUnequal, {1.3, 0.2, 0.2}, 0.01},
-      {"most callers where fewest servers are", kUnequal, {0.2, 0.2, 1.28}, 0.09},
+      {"21, 6 and 3 backends, equal demand", kUnequal, {0.56, 0.56, 0.56}, 0.03},
+      {"3, 3 and 24 backends, equal demand", {3, 3, 24}, {0.56, 0.56, 0.56}, 0.06},
+      {"highest demand in the zone with most backends", kUnequal, {1.3, 0.2, 0.2}, 0.01},
+      {"highest demand in the zone with fewest backends", kUnequal, {0.2, 0.2, 1.28}, 0.09},
   };
   for (const Row& row : rows) {
     for (const std::uint64_t seed : kSeeds) {
@@ -78,7 +79,7 @@
       CHECK(maxZoneLateFraction(replay, 1) < 0.03);
       replay.run(28);
       CHECK(maxZoneLateFraction(replay, 28) < 0.01);
-      // Counted by cause: the smallest zone's callers leave it.
+      // Flows that leave the second zone are counted by cause.
       const LocalityCounters counters = replay.locality(2, 0).counters(ServiceId(1));
       const auto by_demand =
           counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::Demand)];
@@ -87,14 +88,14 @@
   }
 }
 
-TEST_CASE("response times alone show unequal zones a second or two later", "[locality][demand]") {
-  // The replay tells the ways apart.
+TEST_CASE("response times alone detect unequal zones a second or two later", "[locality][demand]") {
+  // Control: without the demand, flows are late in the first two seconds.
   LoadReplay replay = start(kByResponseTime, {25, kUnequal}, {0.56, 0.56, 0.56});
   replay.run(2);
   CHECK(totalLateFraction(replay, 2) > 0.06);
 }
 
-TEST_CASE("balancers that see 40 requests a second know unequal zones within half a second",
+TEST_CASE("balancers with 40 requests per second detect unequal zones within half a second",
           "[locality][demand]") {
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
@@ -104,7 +105,7 @@
   }
 }
 
-TEST_CASE("balancers that see a request or two a second know unequal zones after some seconds",
+TEST_CASE("balancers with one or two requests per second detect unequal zones after some seconds",
           "[locality][demand]") {
   const auto late = [](ReplayVariant variant) {
     LoadReplay replay = start(variant, {300, kUnequal}, {0.56, 0.56, 0.56});
@@ -112,24 +113,23 @@
     return totalLateFraction(replay, 10);
   };
   CHECK(late(kByDemand) < 0.03);
-  // They see too few answers to compare response times.
+  // There are too few answers to compare response times.
   CHECK(late(kByResponseTime) > 0.1);
 }
 
-TEST_CASE("flows stay in a zone that has room by demand, however few its slots",
-          "[locality][demand]") {
+TEST_CASE("flows stay in a zone with low demand, even if it has few slots", "[locality][demand]") {
   const auto local_fraction = [](ReplayVariant variant) {
     LoadReplay replay = start(variant, {25, kUnequal}, {0.5, 0.3, 0.1});
     replay.run(20);
     CHECK(maxZoneLateFraction(replay, 20) < 0.01);
     return replay.sum(3, 10).localFraction();
   };
-  // What the largest weight gives to a tenth of the slots.
+  // The local fraction of a tenth of the slots at the maximum weight.
   CHECK(local_fraction(kByDemand) > 0.8);
   CHECK(local_fraction(kByResponseTime) < local_fraction(kByDemand) - 0.1);
 }
 
-TEST_CASE("a burst of three times in one zone goes beyond within its first second",
+TEST_CASE("a threefold burst of demand in one zone overflows within its first second",
           "[locality][demand]") {
   const auto play = [](ReplayVariant variant, std::uint32_t balancers, std::uint64_t seed) {
     LoadReplay replay = start(variant, {balancers, kEqual, seed}, {0.4, 0.4, 0.4});
@@ -148,7 +148,7 @@
     replay.run(20);
     CHECK(maxZoneLateFraction(replay, 20) < 0.01);
     CHECK(replay.sum(1, 5).localFraction() > 0.93);
-    // Where a balancer sees a dozen requests a second, later.
+    // Later at balancers with a dozen requests per second.
     LoadReplay low_rate = play(kByDemand, 25, seed);
     CHECK(totalLateFraction(low_rate, 1) <
           0.6 * totalLateFraction(play(kByResponseTime, 25, seed), 1));
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_CASE("a zone that loses all servers but one sends its callers beyond at once",
+TEST_CASE("flows overflow at once from a zone that loses all backends but one",
           "[locality][demand]") {
   for (const bool draining : {false, true}) {
     INFO("draining " << draining);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a service time that errs by two is no worse than none, or costs bytes alone",
+TEST_CASE("a service time wrong by a factor of two causes no more late flows than none",
           "[locality][demand]") {
   const auto play = [](double factor) {
     LoadReplay replay =
@@ -201,7 +201,7 @@
   CHECK(twice.sum(2, 5).localFraction() > 0.25);
 }
 
-TEST_CASE("servers that turn twice as slow as their slots say are relieved by response times",
+TEST_CASE("flows overflow by response times from backends that become twice as slow",
           "[locality][demand]") {
   const auto play = [](double factor) {
     LoadReplay replay = start({LocalityMode::Adaptive, 50, factor}, {25, kEqual}, {0.45, 0.3, 0.3});
@@ -212,14 +212,14 @@
     replay.run(10);
     return replay;
   };
-  // The demand counts with the old service time: it must not hold the response times back.
+  // The demand estimate uses the old service time; it must not delay overflow by response times.
   LoadReplay replay = play(1);
   CHECK(totalLateFraction(replay, 10) < totalLateFraction(play(0), 10) + 0.01);
   replay.run(10);
   CHECK(maxZoneLateFraction(replay, 10) < 0.02);
 }
 
-TEST_CASE("in a zone that is cut off all flows stay with its servers, whatever the demand",
+TEST_CASE("in a partitioned zone all flows stay with the local backends, whatever the demand",
           "[locality][demand]") {
   LoadReplay replay = start(kByDemand, {25, kEqual}, {0.3, 0.3, 0.3});
   replay.run(3);
@@ -230,7 +230,7 @@
   replay.run(2);
   CHECK(replay.sum(1, 1).localFraction() == 1);
   CHECK(replay.sum(1, 2).refused == 0);
-  // Where only the servers of the own zone are silent all go beyond.
+  // If only the local backends are suspect, all flows leave the zone.
   replay.backend_health.suspects.clear();
   replay.run(5);
   for (std::uint32_t id = 100; id < 110; ++id) {
@@ -241,7 +241,7 @@
   CHECK(replay.sum(1, 1).refused == 0);
 }
 
-TEST_CASE("where all zones are full nothing is gained beyond, and no share drifts",
+TEST_CASE("with all zones full there is little overflow and local fractions are stable",
           "[locality][demand]") {
   for (const double load : {0.8, 1.0, 1.3}) {
     INFO("load " << load);
@@ -258,9 +258,10 @@
   }
 }
 
-TEST_CASE("balancers of a zone stand alike, so that copies of an opening find the same server",
-          "[locality][demand]") {
-  // Mean of 20 seconds, of the two zones whose callers leave them.
+TEST_CASE(
+    "balancers of a zone agree on the local fraction, so retransmissions reach the same backend",
+    "[locality][demand]") {
+  // Mean over 20 seconds in the two zones with overflow.
   const auto fractionDeviation = [](ReplayVariant variant, const BackendCounts& backend_counts) {
     LoadReplay replay = start(variant, {25, backend_counts}, {0.56, 0.56, 0.56});
     replay.run(10);
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -9,7 +9,7 @@
 
 const Endpoint kUnknownService{0x0a140009, 443};
 
-/** A packet router over the harness's two services, with a recorded output. */
+/** A packet router with two services and recorded output. */
 struct PacketHarness : PacketSender, PacketRouterHost {
   struct Sent {
     BackendId backend;
@@ -57,7 +57,7 @@
     return packet;
   }
 
-  /** Sends the opening of a flow. @return where it went. */
+  /** Sends the opening of a flow. @return the last packet forwarded. */
   Sent open(std::uint16_t port, std::uint32_t copy = 0) {
     FlowPacket opening = packet(port);
     opening.opens = true;
@@ -102,7 +102,7 @@
   std::vector<ResponseTiming> timings;
 };
 
-TEST_CASE("any node forwards a later packet by its token", "[packet_router]") {
+TEST_CASE("any balancer forwards packets of an open flow by their token", "[packet_router]") {
   PacketHarness first;
   const auto opened = first.open(5000);
   PacketHarness second;
@@ -112,7 +112,8 @@
   CHECK(second.sent[0].token == opened.token);
 }
 
-TEST_CASE("a later packet without or with a foreign token is dropped", "[packet_router]") {
+TEST_CASE("a packet of an open flow without a token or with a foreign one is dropped",
+          "[packet_router]") {
   PacketHarness harness;
   const auto opened = harness.open(5000);
   harness.sent.clear();
@@ -126,21 +127,22 @@
   CHECK(harness.router.counters().drops_unknown_backend == 3);
 }
 
-TEST_CASE("an opening to no route is reset only where that is certain", "[packet_router]") {
+TEST_CASE("an opening to an unknown service is reset only if the view is up to date",
+          "[packet_router]") {
   PacketHarness harness;
   FlowPacket opening = harness.packet(5000, kUnknownService);
   opening.opens = true;
-  SECTION("certain") {
+  SECTION("view up to date") {
     harness.router.onPacket(opening);
     CHECK(harness.resets.size() == 1);
   }
-  SECTION("the view may be old") {
+  SECTION("view possibly outdated") {
     harness.view_is_fresh = false;
     harness.router.onPacket(opening);
     CHECK(harness.resets.empty());
     CHECK(harness.router.counters().drops_not_certain == 1);
   }
-  SECTION("nothing is known yet") {
+  SECTION("balancer still joining") {
     harness.blocked_by = Reason::Joining;
     harness.router.onPacket(opening);
     CHECK(harness.resets.empty());
@@ -148,7 +150,7 @@
   CHECK(harness.sent.empty());
 }
 
-TEST_CASE("an opening without any back end is reset only once entries had time to come back",
+TEST_CASE("an opening without any backend is reset only once the backend list is complete",
           "[packet_router]") {
   PacketHarness harness;
   Configuration configuration = twoServices();
@@ -164,7 +166,8 @@
   CHECK(harness.resets.size() == 1);
 }
 
-TEST_CASE("open flows of a retired back end go on until its address is taken", "[packet_router]") {
+TEST_CASE("open flows of a retired backend are forwarded until its address is reused",
+          "[packet_router]") {
   PacketHarness harness;
   const auto opened = harness.open(5000);
   Configuration configuration = twoServices();
@@ -185,7 +188,7 @@
   CHECK(harness.sent.empty());
   CHECK(harness.resets.size() == 1);
 
-  SECTION("but a caller that gives up is not answered") {
+  SECTION("an abort by the client is not answered") {
     FlowPacket abort = harness.packet(5000);
     abort.token = opened.token;
     abort.aborts = true;
@@ -194,7 +197,7 @@
   }
 }
 
-TEST_CASE("a copy of an opening goes to another back end", "[packet_router]") {
+TEST_CASE("a retransmitted opening is placed on another backend", "[packet_router]") {
   PacketHarness harness;
   const auto first = harness.open(5000);
   const auto second = harness.open(5000, 1);
@@ -202,7 +205,7 @@
   CHECK(harness.router.counters().reopenings == 1);
 }
 
-/** Twenty back ends of one service, so that one of them may be dead. */
+/** Twenty backends of one service, so that one of them may be marked dead. */
 Configuration manyBackends() {
   Configuration configuration = twoServices();
   configuration.backends.clear();
@@ -212,7 +215,7 @@
   return configuration;
 }
 
-/** Opens flows until that many are open at one back end; all others are answered. */
+/** Opens flows until count of them are open at one backend; all handshakes are completed. */
 std::vector<std::uint16_t> openAtOne(PacketHarness& harness, std::size_t count, BackendId& chosen) {
   std::map<BackendId, std::vector<std::uint16_t>> ports;
   for (std::uint16_t port = 1; port < 5000; ++port) {
@@ -228,7 +231,8 @@
   return {};
 }
 
-TEST_CASE("a back end that leaves an opening unanswered gets no new flows", "[packet_router]") {
+TEST_CASE("a backend that leaves an opening unanswered is excluded from placement",
+          "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   const BackendId silent = harness.open(1).backend;
@@ -238,7 +242,7 @@
     harness.data(port, opened.token, 1001, 1);
     CHECK(opened.backend != silent);
   }
-  SECTION("until it shows life") {
+  SECTION("until a client completes its handshake") {
     harness.data(1, harness.tokens.encode(harness.packet(1).flow(), silent), 1001, 1);
     harness.time.elapsed += milliseconds(300);
     bool chosen = false;
@@ -249,7 +253,7 @@
   }
 }
 
-TEST_CASE("open flows of a back end that fell silent are reset", "[packet_router]") {
+TEST_CASE("open flows of a backend that stopped answering are reset", "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId dead;
@@ -260,7 +264,7 @@
   };
   const bool slow_before = GENERATE(false, true);
   if (slow_before) {
-    // A living back end answered after as many repetitions: that proves nothing any more.
+    // A healthy backend has answered after as many retransmissions, so they are no evidence.
     harness.silence.onLife(BackendId(20), 2);
   }
   for (const int wait_ms : {0, 200}) {
@@ -278,7 +282,8 @@
   CHECK(by_reason[static_cast<std::size_t>(Reason::BackendGone)] == expected);
 }
 
-TEST_CASE("a flow that goes on is not reset for what other flows have lost", "[packet_router]") {
+TEST_CASE("a flow that makes progress is not reset because of losses of other flows",
+          "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId silent;
@@ -296,13 +301,13 @@
   }
   REQUIRE(harness.silence.isDead(silent));
   harness.resets.clear();
-  SECTION("its next request") {
+  SECTION("next request") {
     send(ports[3], 1101, 1);
   }
-  SECTION("its first repetition") {
+  SECTION("first retransmission") {
     send(ports[3], 1001, 1);
   }
-  SECTION("a flow that came through another balancer before") {
+  SECTION("flow previously forwarded by another balancer") {
     send(40000, 7001, 9001);
     harness.time.elapsed += milliseconds(200);
     send(40000, 7001, 9001);
@@ -310,7 +315,7 @@
   CHECK(harness.resets.empty());
 }
 
-TEST_CASE("where balancers ask each other, none resets a flow by its own losses alone",
+TEST_CASE("if peer evidence is required, no flow is reset by local losses alone",
           "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
@@ -330,7 +335,8 @@
   CHECK(harness.resets.size() == 1);
 }
 
-TEST_CASE("a flow's repetitions before its balancer was behind do not count", "[packet_router]") {
+TEST_CASE("retransmissions before the balancer was behind on packets are not counted",
+          "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   const auto opened = harness.open(5000);
@@ -349,8 +355,9 @@
   CHECK(harness.resets.size() == 1);
 }
 
-/** A caller sends a window again whose packets were lost on their way here, not at the back end. */
-TEST_CASE("a window that is sent again at once proves nothing", "[packet_router]") {
+/** A client retransmits a window whose packets were lost on the way here, not at the backend. */
+TEST_CASE("immediate retransmission of a window is no evidence against a backend",
+          "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId living;
@@ -368,7 +375,8 @@
   CHECK(harness.resets.empty());
 }
 
-TEST_CASE("data beyond the caller's window is a sign of life", "[packet_router]") {
+TEST_CASE("data beyond the client's window is evidence that the backend answers",
+          "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId living;
@@ -385,7 +393,7 @@
   CHECK(harness.resets.empty());
 }
 
-TEST_CASE("one flow alone never proves a back end dead", "[packet_router]") {
+TEST_CASE("a single flow is not enough to mark a backend dead", "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId slow;
@@ -397,7 +405,7 @@
   CHECK(harness.resets.empty());
 }
 
-TEST_CASE("a node to which most back ends are silent resets nothing", "[packet_router]") {
+TEST_CASE("no flow is reset while most backends look silent", "[packet_router]") {
   PacketHarness harness;
   std::map<std::uint16_t, CompactToken> tokens;
   for (std::uint16_t port = 1; port <= 20; ++port) {
@@ -413,9 +421,8 @@
   CHECK(harness.resets.empty());
 }
 
-/** A link that holds packets up makes callers repeat themselves whichever back end they talk to. */
-TEST_CASE("a node to which many back ends are silent by one flow each resets nothing",
-          "[packet_router]") {
+/** A link that delays packets causes retransmissions to all backends. */
+TEST_CASE("no flow is reset while many backends look silent by one flow each", "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   BackendId living;
@@ -436,15 +443,14 @@
   CHECK(harness.resets.empty());
 }
 
-TEST_CASE("a flow that repeats itself is reset where others tell that its back end is dead",
-          "[packet_router]") {
+TEST_CASE("a retransmitting flow is reset if peers report its backend dead", "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
   const auto opened = harness.open(5000);
   harness.data(5000, opened.token, 1001, 1);
   harness.dead_by_peer_evidence = opened.backend;
   harness.time.elapsed += milliseconds(200);
-  SECTION("one that goes on is not") {
+  SECTION("not if the flow makes progress") {
     harness.data(5000, opened.token, 1101, 100);
     CHECK(harness.resets.empty());
     return;
@@ -452,12 +458,12 @@
   harness.data(5000, opened.token, 1001, 1);
   CHECK(harness.resets.empty());
   harness.time.elapsed += milliseconds(400);
-  SECTION("one that is answered meanwhile is not") {
+  SECTION("not if the flow is answered meanwhile") {
     harness.data(5000, opened.token, 1101, 100);
     CHECK(harness.resets.empty());
     return;
   }
-  SECTION("one of another back end is not") {
+  SECTION("not if the flow belongs to another backend") {
     harness.dead_by_peer_evidence = BackendId(opened.backend.value() % 20 + 1);
     harness.data(5000, opened.token, 1001, 1);
     CHECK(harness.resets.empty());
@@ -468,7 +474,7 @@
   CHECK(harness.router.counters().resets_by_peer_evidence == 1);
 }
 
-TEST_CASE("an answer is timed from the first packet of its request", "[packet_router]") {
+TEST_CASE("the response time is measured from the first packet of the request", "[packet_router]") {
   PacketHarness harness;
   const CompactToken token = harness.open(1).token;
   harness.data(1, token, 1001, 1);
@@ -485,8 +491,7 @@
   CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Late));
 }
 
-TEST_CASE("the time of an answer to a request that was sent again shows no queue",
-          "[packet_router]") {
+TEST_CASE("the response time of a retransmitted request is marked as repeated", "[packet_router]") {
   PacketHarness harness;
   const CompactToken token = harness.open(1).token;
   harness.data(1, token, 1001, 1);
@@ -498,7 +503,7 @@
   CHECK(harness.timings == std::vector<ResponseTiming>{ResponseTiming::Repeated});
 }
 
-TEST_CASE("the end of a handshake is timed", "[packet_router]") {
+TEST_CASE("the duration of a handshake is measured", "[packet_router]") {
   PacketHarness harness;
   const auto opened = harness.open(5000);
   harness.time.elapsed += milliseconds(7);
--- a/tests/flow/placement_changes_test.cc
+++ b/tests/flow/placement_changes_test.cc
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kBackendCount = 40;
 
-/** A configuration that changes in place, and engines that place by it. */
+/** A configuration that is changed in place, and a placement engine that uses it. */
 struct ChangingHarness {
   ChangingHarness() {
     setZones({kLac, kAriana});
@@ -49,7 +49,7 @@
     return changes;
   }
 
-  /** @return the id of the back end that an engine chooses; 0 for none. */
+  /** @return the id of the backend that an engine chooses; 0 for none. */
   std::uint32_t place(PlacementEngine& placement, ServiceId service, std::uint64_t flow) const {
     const auto placed = placement.place(*configuration->service(service), FlowId{1, flow});
     return placed ? placed.value()->id.value() : 0;
@@ -64,7 +64,8 @@
                          time, *random};
 };
 
-TEST_CASE("an engine that takes over changes places like one that has just begun", "[placement]") {
+TEST_CASE("an engine that applies changes in place chooses like a newly created one",
+          "[placement]") {
   ChangingHarness harness;
   std::uint64_t flow = 0;
   for (int step = 0; step < 2000; ++step) {
@@ -80,18 +81,19 @@
   }
 }
 
-TEST_CASE("a service whose last server drains or goes has no candidate at once", "[placement]") {
+TEST_CASE("a service whose last backend drains or is removed has no candidate at once",
+          "[placement]") {
   ChangingHarness harness;
   harness.configuration->put(makeBackend(100, ServiceId(2), kLac));
   harness.engine.invalidateCandidates();
   REQUIRE(harness.place(harness.engine, ServiceId(2), 1) == 100);
   ConfigurationChanges changes;
-  SECTION("drains") {
+  SECTION("draining") {
     Backend draining = makeBackend(100, ServiceId(2), kLac);
     draining.draining = true;
     changes.backends.push_back(harness.configuration->put(draining));
   }
-  SECTION("goes") {
+  SECTION("removed") {
     changes.removed.push_back(harness.configuration->take(BackendId(100)));
   }
   harness.engine.onConfigurationChanged(changes);
@@ -101,7 +103,7 @@
   CHECK(refused.error().reason == Reason::NoBackendInAllowedZones);
 }
 
-TEST_CASE("many changes at once make lists anew", "[placement]") {
+TEST_CASE("many changes at once rebuild the candidate lists", "[placement]") {
   ChangingHarness harness;
   REQUIRE(harness.place(harness.engine, ServiceId(1), 1) != 0);
   ConfigurationChanges changes;
--- a/tests/flow/placement_engine_test.cc
+++ b/tests/flow/placement_engine_test.cc
@@ -10,7 +10,7 @@
 namespace lugfork {
 namespace {
 
-/** One service with that many back ends in one zone, and the engine that places its flows. */
+/** A service with the given number of backends in one zone, and its placement engine. */
 struct PlacementHarness {
   explicit PlacementHarness(std::uint32_t backends, const std::string& policy = "power_of_two",
                             const PlacementSettings& settings = {})
@@ -55,7 +55,7 @@
     return engine.place(service(), FlowId{1, ++flows});
   }
 
-  /** @return placements by back end; refusals under 0. */
+  /** @return number of placements by backend; refusals are counted under 0. */
   std::map<std::uint32_t, int> placeMany(int count) {
     std::map<std::uint32_t, int> placements;
     for (int placed = 0; placed < count; ++placed) {
@@ -73,18 +73,18 @@
   std::uint64_t flows = 0;
 };
 
-TEST_CASE("back ends that may not get new work are not chosen, under any policy") {
+TEST_CASE("backends that may not receive new flows are not chosen by any policy") {
   struct Row {
     const char* name;
     std::function<void(PlacementHarness&)> arrange;
   };
   const Row rows[] = {
       {"unreachable", [](PlacementHarness& harness) { harness.reportUnreachable(1); }},
-      {"said that it drains",
+      {"reported draining in a refusal",
        [](PlacementHarness& harness) { harness.loads.onDrainingSeen(BackendId(1)); }},
-      {"refused lately",
+      {"refused recently",
        [](PlacementHarness& harness) { harness.loads.onRefusal(BackendId(1), seconds(1)); }},
-      {"full by its report", [](PlacementHarness& harness) { harness.report(1, 2, 14); }},
+      {"reported full", [](PlacementHarness& harness) { harness.report(1, 2, 14); }},
       {"declared draining",
        [](PlacementHarness& harness) {
          Configuration configuration = harness.view->document();
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("with every back end full, new flows are refused at once with a time to come back") {
+TEST_CASE("with every backend full, new flows are rejected at once with a retry delay") {
   PlacementHarness harness(4);
   for (std::uint32_t id = 1; id <= 4; ++id) {
     harness.report(id, 2, 14);
@@ -119,21 +119,21 @@
   REQUIRE(harness.place());
 }
 
-TEST_CASE("balancers share the free places of a back end between its reports") {
+TEST_CASE("live balancers divide the free capacity of a backend among them between reports") {
   PlacementHarness harness(2);
   harness.loads.setLiveBalancers(4);
   harness.report(1, 0);
   harness.report(2, 0);
-  // Two slots, full at eight times that: 16 places, so 4 for each balancer and back end.
+  // Two slots, full at eight requests per slot: 16 requests, so 4 per balancer and backend.
   CHECK(harness.placeMany(20)[0] == 12);
 }
 
-TEST_CASE("without reports nothing counts as full") {
+TEST_CASE("without reports no backend counts as full") {
   PlacementHarness harness(2);
   CHECK(harness.placeMany(1000).count(0) == 0);
 }
 
-TEST_CASE("that a back end is leaving or down is believed for longer than its load") {
+TEST_CASE("reports that a backend is leaving or unreachable are valid for longer than its load") {
   PlacementHarness harness(5);
   harness.reportLeaving(1);
   harness.reportUnreachable(2);
@@ -143,7 +143,7 @@
   CHECK(placements.count(2) == 0);
 }
 
-TEST_CASE("a failed probe does not undo a back end's word that it is leaving") {
+TEST_CASE("a failed probe does not clear the reported leaving state") {
   PlacementHarness harness(2);
   harness.reportLeaving(1);
   harness.time.elapsed += seconds(1);
@@ -152,7 +152,8 @@
   CHECK(harness.placeMany(100).count(1) == 0);
 }
 
-TEST_CASE("a report takes leaving back at once, but a refusal only after the hold") {
+TEST_CASE(
+    "a report clears a reported leaving state at once, one detected by refusal after a delay") {
   PlacementHarness harness(2);
   harness.reportLeaving(1);
   harness.time.elapsed += seconds(1);
@@ -168,7 +169,8 @@
   CHECK(harness.placeMany(100).count(1) == 1);
 }
 
-TEST_CASE("a report's weight falls smoothly with its age, towards what the others have") {
+TEST_CASE(
+    "the weight of a report decays smoothly with its age towards the load of the other backends") {
   PlacementHarness harness(2);
   harness.report(1, 2);
   harness.report(2, 0);
@@ -184,7 +186,7 @@
   CHECK(before == Approx(0.5).margin(0.01));
 }
 
-TEST_CASE("a back end that has just started gets a small and rising share") {
+TEST_CASE("a backend that has just started receives a small and rising fraction of flows") {
   PlacementHarness harness(4);
   const auto share = [&](std::uint32_t uptime_ms) {
     harness.time.elapsed += seconds(1);
@@ -199,7 +201,7 @@
   CHECK(warm >= 1);
 }
 
-TEST_CASE("a view in which most of a service is unreachable is not believed") {
+TEST_CASE("reachability is ignored if most backends of a service look unreachable") {
   PlacementHarness harness(10);
   for (std::uint32_t id = 1; id <= 6; ++id) {
     harness.reportUnreachable(id);
@@ -212,7 +214,7 @@
   CHECK(some.placeMany(300).size() == 5);
 }
 
-TEST_CASE("a back end that keeps refusing although its report shows room is ejected") {
+TEST_CASE("a backend that keeps refusing although it reports free capacity is ejected") {
   PlacementHarness harness(10);
   harness.report(1, 0);
   for (std::uint64_t attempt = 0; attempt < 5; ++attempt) {
@@ -224,8 +226,8 @@
   CHECK(harness.placeMany(100).count(1) == 1);
 }
 
-TEST_CASE("placements stay within the rules whatever is believed") {
-  rc::prop("never outside the allowed zones, never draining, ejections under the cap", [] {
+TEST_CASE("placements obey the rules whatever state is reported") {
+  rc::prop("never outside the allowed zones, never draining, ejections within the limit", [] {
     const auto count = *rc::gen::inRange<std::uint32_t>(1, 30);
     PlacementHarness harness(count, *rc::gen::elementOf(placementPolicyNames()));
     Configuration configuration = harness.view->document();
@@ -275,7 +277,7 @@
   });
 }
 
-/** Ten back ends in each of two zones, one of them local. */
+/** Ten backends in each of two zones, one of them local. */
 struct TwoZoneHarness : PlacementHarness {
   TwoZoneHarness() : PlacementHarness(0, "bounded_rendezvous", makeSettings()) {
     Configuration configuration = twoServices();
@@ -295,7 +297,7 @@
     return settings;
   }
 
-  /** @return how many of 4,000 flows with that pause between them are placed in the local zone. */
+  /** @return number of 4,000 flows, one per pause, that are placed in the local zone. */
   int placeLocally(FlowVolume volume, Duration pause = seconds(1)) {
     int local = 0;
     for (int flow = 0; flow < 4000; ++flow) {
@@ -307,20 +309,21 @@
   }
 };
 
-TEST_CASE("back ends in the local zone get the share that their weight gives", "[placement]") {
+TEST_CASE("local backends receive a fraction of flows proportional to their weight",
+          "[placement]") {
   TwoZoneHarness harness;
   const int local = harness.placeLocally(FlowVolume::Small);
-  // Three quarters, but for the back end that got the last flow and is passed over.
+  // Three quarters, less the flows that the load bound moves off the last chosen backend.
   CHECK(local > 2700);
   CHECK(local < 3200);
 }
 
-TEST_CASE("flows of large requests have a weight of their own, and load goes before it",
+TEST_CASE("bulk flows use the bulk weight, and the load bound takes precedence over it",
           "[placement]") {
   TwoZoneHarness harness;
-  // Nine tenths, but for the back end that got the last flow.
+  // Nine tenths, less the flows that the load bound moves off the last chosen backend.
   CHECK(harness.placeLocally(FlowVolume::Bulk) > 3400);
-  // All at once: no back end gets more than 1.25 times the mean, the local half no more than 5/8.
+  // All at once: no backend gets more than 1.25 times the mean, the local half at most 5/8.
   CHECK(harness.placeLocally(FlowVolume::Bulk, Duration::zero()) <= 2500);
 }
 
--- a/tests/flow/router_harness.h
+++ b/tests/flow/router_harness.h
@@ -6,7 +6,7 @@
 #include "flow/flow_router.h"
 #include "wire/datagram_codec.h"
 
-/** A FlowRouter with a settable clock, a recorded output and a small configuration. */
+/** A FlowRouter with a manual clock, recorded output and a small configuration. */
 namespace lugfork {
 
 struct ManualTimeSource : TimeSource {
@@ -22,7 +22,7 @@
 inline const ZoneId kLac{1};
 inline const ZoneId kAriana{2};
 
-/** Back end addresses follow from the id. */
+/** Derives a backend's address from its id. */
 inline Endpoint addressOf(std::uint32_t backend) {
   return Endpoint{0x7f000100 + backend, 9000};
 }
@@ -39,7 +39,10 @@
   return backend;
 }
 
-/** Listen (service 1): back ends 1, 2 in lac, 3 in ariana, not allowed. Ingest (2): back end 4. */
+/**
+ * Service 1 (listen): backends 1 and 2 in lac, and 3 in ariana, which is not allowed. Service 2
+ * (ingest): backend 4.
+ */
 inline Configuration twoServices(std::uint64_t version = 10) {
   Configuration configuration;
   configuration.version = ConfigVersion(version);
@@ -83,7 +86,7 @@
     router.onDatagram(encodeDatagram(datagram), from);
   }
 
-  /** @return the only datagram sent since the last call, if it is of that type. */
+  /** @return the only datagram sent since the last call, if it is of the given type. */
   template <typename Body>
   std::optional<Body> takeOnly() {
     if (sent.size() != 1 || !std::holds_alternative<Body>(sent[0].datagram)) {
--- a/tests/flow/token_test.cc
+++ b/tests/flow/token_test.cc
@@ -33,7 +33,7 @@
   return placement;
 }
 
-TEST_CASE("a sealed token opens to the same placement, also after the sealing key has rotated") {
+TEST_CASE("a sealed token opens to the same placement, also after rotation of the sealing key") {
   const TokenKey old_key = makeKey(1, 0xaa);
   const TokenBytes token = sealToken(somePlacement(), old_key);
   REQUIRE(token.size() == kTokenSize);
@@ -49,7 +49,7 @@
   CHECK(tokenPlacementTime(token) == SystemTime(Duration(1234567890)));
 }
 
-TEST_CASE("a token is not accepted for another flow, another attempt or under another secret") {
+TEST_CASE("a token is rejected for another flow, another attempt or another secret") {
   const TokenKey key = makeKey(1, 0xaa);
   const TokenBytes token = sealToken(somePlacement(), key);
   const ConfigurationView view = viewWithKeys({key});
@@ -60,7 +60,7 @@
   CHECK(openToken(TokenBytes(kTokenSize - 1, 0), kKey, view).error() == TokenError::Malformed);
 }
 
-TEST_CASE("a change of any one byte of a token is noticed") {
+TEST_CASE("a token with any single byte changed is rejected") {
   const TokenKey key = makeKey(1, 0xaa);
   const ConfigurationView view = viewWithKeys({key});
   for (std::size_t index = 0; index < kTokenSize; ++index) {
