--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -74,7 +74,7 @@
   std::string open(std::uint16_t port) {
     forwarded.clear();
     FlowPacket packet;
-    packet.caller = {kCaller.address, port};
+    packet.client = {kClient.address, port};
     packet.service = kListen;
     packet.opens = true;
     node.onPacket(packet);
@@ -82,7 +82,7 @@
   }
 
   void forwardPacket(const Backend& backend, CompactToken) override { forwarded = backend.name; }
-  void resetCaller(const FlowPacket&) override {}
+  void resetClient(const FlowPacket&) override {}
 
   ManualTimeSource time;
   ManualScheduler scheduler{time};
@@ -107,13 +107,13 @@
   LargeNode large;
   large.open(1);
   const BackendRegistryCounters before = large.node.registryCounters();
-  const std::uint64_t candidates_before = large.node.candidatesMade();
+  const std::uint64_t candidates_before = large.node.candidatesEvaluated();
   large.change({{serverItem(77, 11, BackendState::Draining), false}});
   large.open(2);
   CHECK(large.node.registryCounters().backends_built == before.backends_built + 1);
   CHECK(large.node.registryCounters().routes_built == before.routes_built);
   CHECK(large.node.registryCounters().services_built == before.services_built);
-  CHECK(large.node.candidatesMade() <= candidates_before + 1);
+  CHECK(large.node.candidatesEvaluated() <= candidates_before + 1);
 }
 
 TEST_CASE("many changes at once are told as lists, a few with a line each", "[control_work]") {
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -10,7 +10,7 @@
 
 constexpr ServiceId kFeed{1};
 
-/** One router, of a zone with a third of the slots. */
+/** A router of a zone with a third of the slots. */
 struct LocalityHarness {
   explicit LocalityHarness(LocalityMode mode = LocalityMode::Adaptive)
       : router(make(mode), time, log) {
@@ -20,8 +20,8 @@
   static LocalitySettings make(LocalityMode mode) {
     LocalitySettings settings;
     settings.mode = mode;
-    settings.largest_weight = 50;
-    settings.largest_bulk_weight = 80;
+    settings.max_weight = 50;
+    settings.max_bulk_weight = 80;
     return settings;
   }
 
@@ -30,14 +30,14 @@
     router.assess(service, capacity);
   }
 
-  /** Lets that many half seconds pass, each with some answers from both sides. */
-  void pass(int halves, int own_ms, int others_ms) {
-    for (int half = 0; half < halves; ++half) {
+  /** Advances the time by half seconds, each with local and remote answers. */
+  void advance(int half_seconds, int local_ms, int remote_ms) {
+    for (int half_second = 0; half_second < half_seconds; ++half_second) {
       for (int answer = 0; answer < 10; ++answer) {
         time.elapsed += milliseconds(50);
-        // Spread as work of one kind is: by a third around its mean.
-        router.onResponse(kFeed, true, milliseconds(own_ms * (answer % 2 == 0 ? 4 : 2) / 3));
-        router.onResponse(kFeed, false, milliseconds(others_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        // Durations vary by a third around the mean, as typical of one kind of work.
+        router.onResponse(kFeed, true, milliseconds(local_ms * (answer % 2 == 0 ? 4 : 2) / 3));
+        router.onResponse(kFeed, false, milliseconds(remote_ms * (answer % 2 == 0 ? 4 : 2) / 3));
       }
       assess();
     }
@@ -49,121 +49,120 @@
   LocalityRouter router;
 };
 
-TEST_CASE("a zone with its part of the slots has the largest weight", "[locality]") {
+TEST_CASE("a zone with a third of the slots of three zones has the maximum weight", "[locality]") {
   LocalityHarness harness;
   CHECK(harness.router.weight(kFeed, false) == 50);
   CHECK(harness.router.weight(kFeed, true) == 80);
   CHECK(harness.router.cause(kFeed) == OverflowCause::None);
-  // Services that were never assessed, too.
+  // The same for services that were never assessed.
   CHECK(harness.router.weight(ServiceId(9), false) == 50);
 }
 
-TEST_CASE("the own zone has the largest weight once no other zone has slots", "[locality]") {
+TEST_CASE("the local zone has the maximum weight when no other zone has slots", "[locality]") {
   LocalityHarness harness;
-  harness.pass(6, 100, 20);
+  harness.advance(6, 100, 20);
   REQUIRE(harness.router.weight(kFeed, false) < 50);
   harness.capacity = {40, 40, 40, 40, 3};
-  // Late answers of the own zone, beside what is remembered of the others, move nothing now.
+  // Slow local answers compared with earlier remote ones have no effect now.
   for (int answer = 0; answer < 40; ++answer) {
     harness.time.elapsed += milliseconds(50);
     harness.router.onResponse(kFeed, true, milliseconds(100));
     harness.assess();
     REQUIRE(harness.router.weight(kFeed, false) == 50);
-    REQUIRE(harness.router.ownShare(kFeed) == 1);
+    REQUIRE(harness.router.localFraction(kFeed) == 1);
   }
 }
 
-TEST_CASE("the own zone's share follows its usable slots at once, and back step by step",
+TEST_CASE("loss of usable slots lowers the local fraction at once, and it recovers stepwise",
           "[locality]") {
   struct Row {
     const char* name;
-    double own_usable;
-    double all_usable;
-    double most_share;
-    double least_share;
+    double local_usable_slots;
+    double total_usable_slots;
+    double max_fraction;
+    double min_fraction;
   };
   const Row rows[] = {
-      {"half of the slots carry the zone's part at common loads", 20, 100, 1, 0.95},
-      {"a quarter does not", 10, 90, 0.70, 0.55},
-      {"one server of forty", 1, 81, 0.35, 0.33},
-      {"none that answers", 0, 80, 0.35, 0.33},
+      {"half of the local slots usable", 20, 100, 1, 0.95},
+      {"a quarter of the local slots usable", 10, 90, 0.70, 0.55},
+      {"one slot of forty usable", 1, 81, 0.35, 0.33},
+      {"no local slot usable", 0, 80, 0.35, 0.33},
   };
   for (const Row& row : rows) {
     INFO(row.name);
     LocalityHarness harness;
-    harness.capacity.own_usable = row.own_usable;
-    harness.capacity.all_usable = row.all_usable;
+    harness.capacity.local_usable_slots = row.local_usable_slots;
+    harness.capacity.total_usable_slots = row.total_usable_slots;
     harness.assess();
-    const double share = harness.router.ownShare(kFeed);
-    CHECK(share <= row.most_share);
-    CHECK(share >= row.least_share);
+    const double local_fraction = harness.router.localFraction(kFeed);
+    CHECK(local_fraction <= row.max_fraction);
+    CHECK(local_fraction >= row.min_fraction);
     harness.capacity = LocalityCapacity{40, 40, 120, 120, 3};
     harness.assess();
-    // Callers must not all come at once to a zone that is just back.
-    CHECK(harness.router.ownShare(kFeed) == Approx(share));
-    harness.pass(60, 30, 30);
+    // A zone that has just recovered must not receive all its flows at once.
+    CHECK(harness.router.localFraction(kFeed) == Approx(local_fraction));
+    harness.advance(60, 30, 30);
     CHECK(harness.router.weight(kFeed, false) == 50);
     CHECK(harness.router.cause(kFeed) == OverflowCause::None);
   }
 }
 
-TEST_CASE("with the constant mode neither slots nor times change the weight", "[locality]") {
+TEST_CASE("in constant mode neither slots nor response times change the weight", "[locality]") {
   LocalityHarness harness(LocalityMode::Constant);
-  harness.capacity.own_usable = 1;
+  harness.capacity.local_usable_slots = 1;
   harness.assess();
-  harness.pass(20, 300, 30);
+  harness.advance(20, 300, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("late answers of the own zone send flows beyond, in time ones bring them back",
-          "[locality]") {
+TEST_CASE("slow local answers lower the local fraction, and faster ones restore it", "[locality]") {
   LocalityHarness harness;
-  harness.pass(4, 45, 30);
-  const double first = harness.router.ownShare(kFeed);
+  harness.advance(4, 45, 30);
+  const double first = harness.router.localFraction(kFeed);
   CHECK(first < 0.95);
   CHECK(first > 0.5);
   CHECK(harness.router.cause(kFeed) == OverflowCause::ResponseTime);
-  harness.pass(30, 60, 30);
-  // Never fewer than the zone's slots would get by themselves.
-  CHECK(harness.router.ownShare(kFeed) == Approx(1.0 / 3));
+  harness.advance(30, 60, 30);
+  // Never below the zone's fraction of the slots.
+  CHECK(harness.router.localFraction(kFeed) == Approx(1.0 / 3));
   CHECK(harness.router.weight(kFeed, true) == Approx(1));
-  harness.pass(60, 30, 30);
+  harness.advance(60, 30, 30);
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("differences that tell nothing leave the share where it is", "[locality]") {
+TEST_CASE("insignificant differences of response times do not change the weight", "[locality]") {
   struct Row {
     const char* name;
-    int own_ms;
-    int others_ms;
+    int local_ms;
+    int remote_ms;
   };
   const Row rows[] = {
       {"as fast as others", 30, 30},
       {"faster than others", 30, 60},
       {"a little slower", 36, 30},
-      {"twice as slow, but by less than anyone notices", 9, 5},
+      {"twice as slow, but below the minimum gain", 9, 5},
   };
   for (const Row& row : rows) {
     INFO(row.name);
     LocalityHarness harness;
-    harness.pass(40, row.own_ms, row.others_ms);
+    harness.advance(40, row.local_ms, row.remote_ms);
     CHECK(harness.router.weight(kFeed, false) == 50);
   }
 }
 
-TEST_CASE("refusals of full queues do not make the own zone look fast", "[locality]") {
+TEST_CASE("refusals by full queues are not counted as fast local answers", "[locality]") {
   LocalityHarness harness;
-  for (int half = 0; half < 20; ++half) {
-    harness.pass(1, 90, 30);
+  for (int half_second = 0; half_second < 20; ++half_second) {
+    harness.advance(1, 90, 30);
     // Half of the answers are refusals.
     for (int refusal = 0; refusal < 10; ++refusal) {
       harness.router.onResponse(kFeed, true, milliseconds(1));
     }
   }
-  CHECK(harness.router.ownShare(kFeed) < 0.4);
+  CHECK(harness.router.localFraction(kFeed) < 0.4);
 }
 
-TEST_CASE("a service that becomes much faster is known as fast again", "[locality]") {
+TEST_CASE("the typical response time follows a service that becomes much faster", "[locality]") {
   LogTimeStatistics times(milliseconds(1500));
   MonotonicTime now{seconds(100)};
   const auto answer = [&](int count, Duration duration) {
@@ -178,12 +177,12 @@
   CHECK(times.typicalMs() == Approx(30).epsilon(0.05));
 }
 
-TEST_CASE("few answers are no reason to send flows beyond", "[locality]") {
+TEST_CASE("too few answers do not change the weight", "[locality]") {
   LocalityHarness harness;
-  for (int half = 0; half < 20; ++half) {
+  for (int half_second = 0; half_second < 20; ++half_second) {
     harness.time.elapsed += milliseconds(500);
     harness.router.onResponse(kFeed, true, milliseconds(200));
-    if (half % 8 == 0) {
+    if (half_second % 8 == 0) {
       harness.router.onResponse(kFeed, false, milliseconds(30));
     }
     harness.assess();
@@ -191,86 +190,88 @@
   CHECK(harness.router.weight(kFeed, false) == 50);
 }
 
-TEST_CASE("a share between the bounds stands still", "[locality]") {
+TEST_CASE("the local fraction is stable while the ratio is within the hysteresis", "[locality]") {
   LocalityHarness harness;
-  harness.pass(4, 45, 30);
-  const double share = harness.router.ownShare(kFeed);
-  harness.pass(20, 37, 30);
-  CHECK(harness.router.ownShare(kFeed) <= share);
-  const double later = harness.router.ownShare(kFeed);
-  harness.pass(40, 37, 30);
-  CHECK(harness.router.ownShare(kFeed) == Approx(later));
+  harness.advance(4, 45, 30);
+  const double local_fraction = harness.router.localFraction(kFeed);
+  harness.advance(20, 37, 30);
+  CHECK(harness.router.localFraction(kFeed) <= local_fraction);
+  const double later = harness.router.localFraction(kFeed);
+  harness.advance(40, 37, 30);
+  CHECK(harness.router.localFraction(kFeed) == Approx(later));
 }
 
-TEST_CASE("a step back that makes the zone late again is tried again less often", "[locality]") {
+TEST_CASE("a reduction of the overflow that makes the zone slower is retried less often",
+          "[locality]") {
   LocalityHarness harness;
-  // The zone is in time up to a share of 0.8.
+  // The zone is slower above a local fraction of 0.8.
   int changes = 0;
-  double last = harness.router.ownShare(kFeed);
-  for (int half = 0; half < 240; ++half) {
-    harness.pass(1, harness.router.ownShare(kFeed) > 0.8 ? 45 : 30, 30);
-    if (half >= 120) {
-      changes += harness.router.ownShare(kFeed) == last ? 0 : 1;
-      CHECK(harness.router.ownShare(kFeed) > 0.6);
-      CHECK(harness.router.ownShare(kFeed) < 0.9);
+  double last = harness.router.localFraction(kFeed);
+  for (int half_second = 0; half_second < 240; ++half_second) {
+    harness.advance(1, harness.router.localFraction(kFeed) > 0.8 ? 45 : 30, 30);
+    if (half_second >= 120) {
+      changes += harness.router.localFraction(kFeed) == last ? 0 : 1;
+      CHECK(harness.router.localFraction(kFeed) > 0.6);
+      CHECK(harness.router.localFraction(kFeed) < 0.9);
     }
-    last = harness.router.ownShare(kFeed);
+    last = harness.router.localFraction(kFeed);
   }
-  // In the last minute.
+  // Number of changes in the last minute.
   CHECK(changes < 30);
 }
 
-/** 120 idle servers, each third in the own zone. */
-struct IdleServers : CandidateSet {
-  explicit IdleServers(double own_weight) : weight_of_own(own_weight) {
+/** 120 idle backends, every third of them in the local zone. */
+struct IdleBackends : CandidateSet {
+  explicit IdleBackends(double initial_weight) : local_weight(initial_weight) {
     for (std::uint32_t id = 1; id <= 120; ++id) {
-      servers.push_back(makeBackend(id, kFeed, id % 3 == 0 ? kLac : kAriana));
+      backends.push_back(makeBackend(id, kFeed, id % 3 == 0 ? kLac : kAriana));
     }
   }
-  std::size_t size() const override { return servers.size(); }
-  const Backend& backend(std::size_t index) const override { return servers[index]; }
+  std::size_t size() const override { return backends.size(); }
+  const Backend& backend(std::size_t index) const override { return backends[index]; }
   double estimatedLoad(std::size_t) const override { return 0; }
   double reportedLoad(std::size_t) const override { return 0; }
   double weight(std::size_t index) const override {
-    return servers[index].zone == kLac ? weight_of_own : 1;
+    return backends[index].zone == kLac ? local_weight : 1;
   }
-  std::vector<Backend> servers;
-  double weight_of_own;
+  std::vector<Backend> backends;
+  double local_weight;
 };
 
-TEST_CASE("balancers whose shares differ by a step place nearly all flows alike", "[locality]") {
+TEST_CASE("balancers one level apart choose the same backend for nearly all flows", "[locality]") {
   const auto random = makeSeededRandom(5);
   LocalityHarness harness;
   BoundedRendezvousPolicy policy;
   std::vector<double> weights = {harness.router.weight(kFeed, false)};
-  while (harness.router.ownShare(kFeed) > 0.34) {
-    harness.pass(1, 42, 30);
+  while (harness.router.localFraction(kFeed) > 0.34) {
+    harness.advance(1, 42, 30);
     weights.push_back(harness.router.weight(kFeed, false));
   }
   REQUIRE(weights.size() >= 16);
   for (std::size_t step = 1; step < weights.size(); ++step) {
-    const IdleServers before(weights[step - 1]);
-    const IdleServers after(weights[step]);
-    int alike = 0;
+    const IdleBackends before(weights[step - 1]);
+    const IdleBackends after(weights[step]);
+    int equal_choices = 0;
     for (std::uint64_t flow = 0; flow < 1000; ++flow) {
       const FlowId id{7, flow};
-      alike += policy.choose(before, id, *random) == policy.choose(after, id, *random) ? 1 : 0;
+      equal_choices +=
+          policy.choose(before, id, *random) == policy.choose(after, id, *random) ? 1 : 0;
     }
-    CHECK(alike > 930);
+    CHECK(equal_choices > 930);
   }
 }
 
-TEST_CASE("flows are counted by where they go and why", "[locality]") {
+TEST_CASE("placed flows are counted by zone and cause", "[locality]") {
   LocalityHarness harness;
   harness.router.onPlaced(kFeed, true);
   harness.router.onPlaced(kFeed, false);
-  harness.capacity.own_usable = 0;
+  harness.capacity.local_usable_slots = 0;
   harness.assess();
   harness.router.onPlaced(kFeed, false);
   const LocalityCounters counters = harness.router.counters(kFeed);
-  CHECK(counters.own_zone == 1);
-  CHECK(counters.beyond[static_cast<std::size_t>(OverflowCause::None)] == 1);
-  CHECK(counters.beyond[static_cast<std::size_t>(OverflowCause::Capacity)] == 1);
+  CHECK(counters.local_zone == 1);
+  CHECK(counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::None)] == 1);
+  CHECK(counters.remote_by_cause[static_cast<std::size_t>(OverflowCause::Capacity)] == 1);
 }
 
 }  // namespace
