--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -41,7 +41,7 @@
 
 LoadControlSettings loadControlSettingsOf(const PacketNodeSettings& settings) {
   LoadControlSettings load_control = settings.load_control;
-  load_control.admission.own_zone = settings.zone;
+  load_control.admission.local_zone = settings.zone;
   return load_control;
 }
 
@@ -169,10 +169,10 @@
   if (const Backend* known = decider_.configuration()->backend(backend)) {
     placement_.onResponse(*known, duration);
     if (timing != ResponseTiming::Repeated) {
-      const Zone* own_zone = decider_.configuration()->zoneNamed(settings_.zone);
-      const bool is_elsewhere = own_zone != nullptr && known->zone != own_zone->id;
+      const Zone* local_zone = decider_.configuration()->zoneNamed(settings_.zone);
+      const bool is_remote = local_zone != nullptr && known->zone != local_zone->id;
       load_control_.onResponse(known->service, duration, timing == ResponseTiming::Prompt,
-                               is_elsewhere);
+                               is_remote);
     }
   }
   if (on_response_) {
--- a/src/load/admission_controller.cc
+++ b/src/load/admission_controller.cc
@@ -10,34 +10,34 @@
 namespace {
 
 /** Flows a second below which a class counts as absent. */
-constexpr double kLeastDemand = 0.5;
+constexpr double kMinDemandPerSecond = 0.5;
 /** Pressure below which slots are free, so that the rate is released and not steered. */
-constexpr double kFreeBelow = 0.5;
+constexpr double kMaxFreePressure = 0.5;
 /** Beyond the demand by so much, a limit of the rate means nothing any more. */
-constexpr double kBeyondDemand = 1.1;
-constexpr double kFullFrom = 0.5;
+constexpr double kMaxLimitToDemandRatio = 1.1;
+constexpr double kFullQueueExcess = 0.5;
 /** Time after which slots are counted again: a service may have thousands of servers, of which a
  * few come and go in a second. */
-constexpr Duration kSlotsLifetime = seconds(1);
+constexpr Duration kSlotCountInterval = seconds(1);
 /** Part of the most urgent class's admitted flows that stays admitted at the next step where the
  * class alone brings more than the slots take. */
-constexpr double kUrgentStays = 0.5;
-constexpr int kServiceTimesOfRelease = 4;
+constexpr double kUrgentRetainedFraction = 0.5;
+constexpr int kReleaseServiceTimes = 4;
 
-double inSeconds(Duration duration) {
+double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
 /** @return a number in [0, 1) that follows from the flow alone, apart from the placement's hash. */
-double unitOf(const FlowId& flow) {
+double unitHash(const FlowId& flow) {
   constexpr std::uint64_t kSeed = 0x61646d6974;
   const std::uint64_t content[] = {flow.high, flow.low};
   return static_cast<double>(XXH3_64bits_withSeed(content, sizeof(content), kSeed) >> 11) *
          0x1.0p-53;
 }
 
-std::size_t indexOf(const RequestClass& request_class) {
-  return std::min<std::size_t>(request_class.priority, kPriorities - 1);
+std::size_t priorityIndex(const RequestClass& request_class) {
+  return std::min<std::size_t>(request_class.priority, kPriorityCount - 1);
 }
 
 double usableSlots(const ConfigurationView& configuration, ServiceId service) {
@@ -48,16 +48,17 @@
   return slots;
 }
 
-bool hasServersElsewhere(const ConfigurationView& configuration, ServiceId service,
-                         const std::string& own_zone) {
-  const Zone* own = configuration.zoneNamed(own_zone);
-  const Service* known = configuration.service(service);
-  if (own == nullptr || known == nullptr) {
+bool hasRemoteBackends(const ConfigurationView& configuration, ServiceId service,
+                       const std::string& local_zone) {
+  const Zone* local = configuration.zoneNamed(local_zone);
+  const Service* service_record = configuration.service(service);
+  if (local == nullptr || service_record == nullptr) {
     return false;
   }
   const std::vector<const Backend*>& backends = configuration.backendsOf(service);
   return std::any_of(backends.begin(), backends.end(), [&](const Backend* backend) {
-    return backend->zone != own->id && known->allowsZone(backend->zone) && !backend->draining;
+    return backend->zone != local->id && service_record->allowsZone(backend->zone) &&
+           !backend->draining;
   });
 }
 
@@ -72,15 +73,15 @@
 bool AdmissionController::admits(const Service& service, const RequestClass& request_class,
                                  const FlowId& flow) {
   State& state = states_[service.id];
-  const std::size_t index = indexOf(request_class);
-  state.arrived[index] += 1;
+  const std::size_t index = priorityIndex(request_class);
+  state.arrivals[index] += 1;
   state.targets[index] = request_class.target;
   double rank = 0;
-  for (std::size_t other = index + 1; other < kPriorities; ++other) {
-    rank += state.demand[other] >= kLeastDemand ? 1 : 0;
+  for (std::size_t other = index + 1; other < kPriorityCount; ++other) {
+    rank += state.demand[other] >= kMinDemandPerSecond ? 1 : 0;
   }
-  const bool is_admitted = unitOf(flow) >= std::clamp(state.level - rank, 0.0, 1.0);
-  state.admitted += is_admitted ? 1 : 0;
+  const bool is_admitted = unitHash(flow) >= std::clamp(state.level - rank, 0.0, 1.0);
+  state.admitted_count += is_admitted ? 1 : 0;
   return is_admitted;
 }
 
@@ -89,164 +90,169 @@
                 [&](const auto& entry) { return configuration.service(entry.first) == nullptr; });
   const MonotonicTime now = time_source_.monotonicTime();
   for (auto& [service, state] : states_) {
-    const double elapsed_s = std::clamp(inSeconds(now - state.ticked_at), 0.01, 1.0);
-    learnDemand(state, now, elapsed_s);
+    const double elapsed_s = std::clamp(toSeconds(now - state.last_tick_at), 0.01, 1.0);
+    updateDemand(state, now, elapsed_s);
     if (policy_ == nullptr) {
       continue;
     }
-    if (state.slots_at == MonotonicTime() || now - state.slots_at >= kSlotsLifetime) {
+    if (state.slots_counted_at == MonotonicTime() ||
+        now - state.slots_counted_at >= kSlotCountInterval) {
       state.usable_slots = usableSlots(configuration, service);
-      state.has_servers_elsewhere = hasServersElsewhere(configuration, service, settings_.own_zone);
-      state.slots_at = now;
+      state.has_remote_backends = hasRemoteBackends(configuration, service, settings_.local_zone);
+      state.slots_counted_at = now;
     }
     PressureInput input{loads_.load(service),
                         state.usable_slots,
                         static_cast<double>(std::max<std::size_t>(balancers, 1)),
                         {},
-                        state.has_servers_elsewhere,
-                        responseElsewhere(state, now)};
-    for (std::size_t index = 0; index < kPriorities; ++index) {
+                        state.has_remote_backends,
+                        remoteResponseTime(state, now)};
+    for (std::size_t index = 0; index < kPriorityCount; ++index) {
       const Duration target = state.targets[index];
-      const bool counts = state.demand[index] >= kLeastDemand && target.count() > 0;
-      if (counts && (input.smallest_target.count() == 0 || target < input.smallest_target)) {
-        input.smallest_target = target;
+      const bool has_target = state.demand[index] >= kMinDemandPerSecond && target.count() > 0;
+      if (has_target && (input.min_target.count() == 0 || target < input.min_target)) {
+        input.min_target = target;
       }
     }
-    const double before = state.pressure;
-    state.pressure = mayHaveRoomElsewhere(input) ? 0 : policy_->pressure(input);
-    moveRate(state, input.load, elapsed_s);
-    const double own_slots_rate = ownSlotsRate(state, input);
-    if (state.admitted_rate < 0 || own_slots_rate <= 0) {
+    const double previous_pressure = state.pressure;
+    state.pressure = remoteBackendsMayHaveCapacity(input) ? 0 : policy_->pressure(input);
+    updateRateLimit(state, input.load, elapsed_s);
+    const double flow_capacity = flowCapacity(state, input);
+    if (state.rate_limit < 0 || flow_capacity <= 0) {
       state.level = 0;
       continue;
     }
-    const double least = settings_.least_share * own_slots_rate;
-    const double most = settings_.largest_share * own_slots_rate;
-    state.admitted_rate = std::max(
-        state.pressure > 1 ? std::min(state.admitted_rate, most) : state.admitted_rate, least);
-    const double excess = std::clamp((state.pressure + before) / 2 - 1, -1.0, 1.0);
-    const double rate = std::max(state.admitted_rate * (1 - settings_.damping * excess), least);
-    state.level = levelFor(state.demand, rate, urgentRate(state, input));
+    const double min_rate = settings_.min_rate_ratio * flow_capacity;
+    const double max_rate = settings_.max_rate_ratio * flow_capacity;
+    state.rate_limit = std::max(
+        state.pressure > 1 ? std::min(state.rate_limit, max_rate) : state.rate_limit, min_rate);
+    const double excess = std::clamp((state.pressure + previous_pressure) / 2 - 1, -1.0, 1.0);
+    const double rate = std::max(state.rate_limit * (1 - settings_.damping * excess), min_rate);
+    state.level = levelFor(state.demand, rate, guaranteedUrgentRate(state, input));
   }
 }
 
-void AdmissionController::onResponseElsewhere(ServiceId service, Duration duration) {
+void AdmissionController::onRemoteResponse(ServiceId service, Duration duration) {
   const MonotonicTime now = time_source_.monotonicTime();
   State& state = states_[service];
-  const double kept = keptElsewhere(state, now);
-  state.answers_elsewhere = state.answers_elsewhere * kept + 1;
-  state.answers_elsewhere_s = state.answers_elsewhere_s * kept + inSeconds(duration);
-  state.elsewhere_at = now;
+  const double decay = remoteDecay(state, now);
+  state.remote_response_count = state.remote_response_count * decay + 1;
+  state.remote_response_sum_s = state.remote_response_sum_s * decay + toSeconds(duration);
+  state.remote_updated_at = now;
 }
 
-double AdmissionController::keptElsewhere(const State& state, MonotonicTime now) const {
-  return std::exp(-inSeconds(now - state.elsewhere_at) / inSeconds(settings_.elsewhere_memory));
+double AdmissionController::remoteDecay(const State& state, MonotonicTime now) const {
+  return std::exp(-toSeconds(now - state.remote_updated_at) /
+                  toSeconds(settings_.remote_time_constant));
 }
 
-Duration AdmissionController::responseElsewhere(const State& state, MonotonicTime now) const {
-  const double answers = state.answers_elsewhere * keptElsewhere(state, now);
-  if (answers < settings_.answers_elsewhere_needed) {
+Duration AdmissionController::remoteResponseTime(const State& state, MonotonicTime now) const {
+  const double response_count = state.remote_response_count * remoteDecay(state, now);
+  if (response_count < settings_.min_remote_responses) {
     return Duration::zero();
   }
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(state.answers_elsewhere_s / state.answers_elsewhere));
+      std::chrono::duration<double>(state.remote_response_sum_s / state.remote_response_count));
 }
 
-void AdmissionController::learnDemand(State& state, MonotonicTime now, double elapsed_s) const {
-  const double kept =
-      state.is_learned ? std::exp(-elapsed_s / inSeconds(settings_.demand_memory)) : 0;
-  for (std::size_t index = 0; index < kPriorities; ++index) {
+void AdmissionController::updateDemand(State& state, MonotonicTime now, double elapsed_s) const {
+  const double decay =
+      state.is_initialized ? std::exp(-elapsed_s / toSeconds(settings_.demand_time_constant)) : 0;
+  for (std::size_t index = 0; index < kPriorityCount; ++index) {
     state.demand[index] =
-        state.demand[index] * kept + state.arrived[index] / elapsed_s * (1 - kept);
+        state.demand[index] * decay + state.arrivals[index] / elapsed_s * (1 - decay);
   }
-  state.admitted_demand = state.admitted_demand * kept + state.admitted / elapsed_s * (1 - kept);
-  state.arrived = {};
-  state.admitted = 0;
-  state.ticked_at = now;
-  state.is_learned = true;
+  state.admitted_per_second =
+      state.admitted_per_second * decay + state.admitted_count / elapsed_s * (1 - decay);
+  state.arrivals = {};
+  state.admitted_count = 0;
+  state.last_tick_at = now;
+  state.is_initialized = true;
 }
 
-void AdmissionController::moveRate(State& state, const ServiceLoad& load, double elapsed_s) const {
+void AdmissionController::updateRateLimit(State& state, const ServiceLoad& load,
+                                          double elapsed_s) const {
   double demand = 0;
-  for (const double part : state.demand) {
-    demand += part;
+  for (const double class_demand : state.demand) {
+    demand += class_demand;
   }
-  const double excess = std::min(state.pressure - 1, settings_.largest_excess);
-  if (state.admitted_rate < 0) {
+  const double excess = std::min(state.pressure - 1, settings_.max_excess);
+  if (state.rate_limit < 0) {
     if (excess <= 0) {
       return;
     }
-    state.admitted_rate = demand;
+    state.rate_limit = demand;
   }
-  if (state.pressure < kFreeBelow) {
+  if (state.pressure < kMaxFreePressure) {
     // Answers of slow services may be few for a moment without a change of their queues.
     const Duration release =
-        std::max(settings_.release, kServiceTimesOfRelease * load.service_time);
-    state.admitted_rate *= std::exp(elapsed_s / inSeconds(release));
+        std::max(settings_.release_time_constant, kReleaseServiceTimes * load.service_time);
+    state.rate_limit *= std::exp(elapsed_s / toSeconds(release));
   } else {
-    const double full = std::max(excess - kFullFrom, 0.0);
+    const double full_queue_excess = std::max(excess - kFullQueueExcess, 0.0);
     // Near the limit the effect of a step shows after a response time; with full queues the steps
     // needn't wait for it.
-    const double change =
-        settings_.gain * excess / inSeconds(std::max(settings_.response, load.response_time)) +
-        settings_.gain_when_full * full /
-            inSeconds(std::max(settings_.response, load.service_time));
-    state.admitted_rate *= std::exp(-change * elapsed_s);
+    const double change = settings_.gain * excess /
+                              toSeconds(std::max(settings_.min_response_time, load.response_time)) +
+                          settings_.gain_when_full * full_queue_excess /
+                              toSeconds(std::max(settings_.min_response_time, load.service_time));
+    state.rate_limit *= std::exp(-change * elapsed_s);
   }
-  if (state.admitted_rate > demand * kBeyondDemand) {
-    state.admitted_rate = excess > 0 ? demand : -1;
+  if (state.rate_limit > demand * kMaxLimitToDemandRatio) {
+    state.rate_limit = excess > 0 ? demand : -1;
   }
 }
 
-double AdmissionController::urgentRate(const State& state, const PressureInput& input) {
+double AdmissionController::guaranteedUrgentRate(const State& state, const PressureInput& input) {
   double rank = 0;
   double urgent = 0;
-  for (std::size_t index = kPriorities; index-- > 0;) {
-    if (state.demand[index] >= kLeastDemand) {
+  for (std::size_t index = kPriorityCount; index-- > 0;) {
+    if (state.demand[index] >= kMinDemandPerSecond) {
       rank += urgent > 0 ? 1 : 0;
       urgent = state.demand[index];
     }
   }
   const double admitted = urgent * (1 - std::clamp(state.level - rank, 0.0, 1.0));
-  const double of_others = std::max(input.load.requests_per_second - admitted, 0.0);
-  return std::max(requestsOfOwnSlots(input), of_others + kUrgentStays * admitted);
+  const double other_requests = std::max(input.load.requests_per_second - admitted, 0.0);
+  return std::max(requestCapacity(input), other_requests + kUrgentRetainedFraction * admitted);
 }
 
-double AdmissionController::requestsOfOwnSlots(const PressureInput& input) {
-  const double service_s = inSeconds(input.load.service_time);
-  return service_s <= 0 ? 0 : input.usable_slots / service_s / input.balancers;
+double AdmissionController::requestCapacity(const PressureInput& input) {
+  const double service_s = toSeconds(input.load.service_time);
+  return service_s <= 0 ? 0 : input.usable_slots / service_s / input.balancer_count;
 }
 
-double AdmissionController::ownSlotsRate(const State& state, const PressureInput& input) {
-  if (state.admitted_demand <= 0) {
+double AdmissionController::flowCapacity(const State& state, const PressureInput& input) {
+  if (state.admitted_per_second <= 0) {
     return 0;
   }
   // Some callers send many requests on a flow.
-  const double requests_of_flow =
-      std::max(input.load.requests_per_second / state.admitted_demand, 1.0);
-  return requestsOfOwnSlots(input) / requests_of_flow;
+  const double requests_per_flow =
+      std::max(input.load.requests_per_second / state.admitted_per_second, 1.0);
+  return requestCapacity(input) / requests_per_flow;
 }
 
-double AdmissionController::levelFor(const Demand& demand, double admitted_rate,
-                                     double urgent_rate) {
-  double excess = -admitted_rate;
-  std::size_t most_urgent = kPriorities;
-  for (std::size_t index = kPriorities; index-- > 0;) {
-    if (demand[index] >= kLeastDemand) {
+double AdmissionController::levelFor(const Demand& demand, double rate_limit,
+                                     double guaranteed_rate) {
+  double excess = -rate_limit;
+  std::size_t most_urgent = kPriorityCount;
+  for (std::size_t index = kPriorityCount; index-- > 0;) {
+    if (demand[index] >= kMinDemandPerSecond) {
       excess += demand[index];
       most_urgent = index;
     }
   }
   double level = 0;
-  for (std::size_t index = kPriorities; index-- > 0 && excess > 0;) {
-    if (demand[index] < kLeastDemand) {
+  for (std::size_t index = kPriorityCount; index-- > 0 && excess > 0;) {
+    if (demand[index] < kMinDemandPerSecond) {
       continue;
     }
-    double part = std::min(excess / demand[index], 1.0);
+    double rejected_fraction = std::min(excess / demand[index], 1.0);
     if (index == most_urgent) {
-      part = std::min(part, std::max(1 - urgent_rate / demand[index], 0.0));
+      rejected_fraction =
+          std::min(rejected_fraction, std::max(1 - guaranteed_rate / demand[index], 0.0));
     }
-    level += part;
+    level += rejected_fraction;
     excess -= demand[index];
   }
   return level;
--- a/src/load/admission_controller.h
+++ b/src/load/admission_controller.h
@@ -21,30 +21,30 @@
   /** Change at once for each unit of excess pressure, which damps the slow one. */
   double damping = 0.15;
   /** Pressure that counts at most: twice too much calls for the largest step. */
-  double largest_excess = 2;
+  double max_excess = 2;
   /** Time over which the demand of classes is learned: callers' retries are part of it. */
-  Duration demand_memory = milliseconds(600);
+  Duration demand_time_constant = milliseconds(600);
   /** Shortest time over which the admitted rate changes: that of the estimator's smoothing. */
-  Duration response = milliseconds(500);
+  Duration min_response_time = milliseconds(500);
   /** Time in which the admitted rate grows e times where nothing is known or slots are free. */
-  Duration release = milliseconds(700);
+  Duration release_time_constant = milliseconds(700);
   /** Least part of this balancer's part of the slots that stays admitted. */
-  double least_share = 0.7;
+  double min_rate_ratio = 0.7;
   /**
    * Most of it that is admitted from the moment at which the pressure is too high: callers are
    * seldom spread over balancers more unevenly, and full queues would hide a larger excess.
    */
-  double largest_share = 1.5;
+  double max_rate_ratio = 1.5;
   /** Zone of this balancer; empty where there are none. */
-  std::string own_zone = {};
+  std::string local_zone = {};
   /** Time for which answers of other zones' servers count: few flows leave the own zone. */
-  Duration elsewhere_memory = seconds(2);
+  Duration remote_time_constant = seconds(2);
   /** Answers within it from which other zones are taken for as full as the own one. */
-  double answers_elsewhere_needed = 3;
+  double min_remote_responses = 3;
 };
 
 /** Priorities that are told apart; callers of less urgent ones are treated like the last. */
-inline constexpr std::size_t kPriorities = 16;
+inline constexpr std::size_t kPriorityCount = 16;
 
 /**
  * Keeps for each service a level from 0 to the number of classes that ask for it. The least urgent
@@ -61,7 +61,7 @@
               const FlowId& flow) override;
 
   /** A server beyond the own zone has answered a request, that long after it began. */
-  void onResponseElsewhere(ServiceId service, Duration duration);
+  void onRemoteResponse(ServiceId service, Duration duration);
 
   /** Moves the levels; to be called each 100 ms. @param balancers that callers reach. */
   void tick(const ConfigurationView& configuration, std::size_t balancers);
@@ -74,49 +74,49 @@
 
  private:
   /** Flows a second that ask, by priority. */
-  using Demand = std::array<double, kPriorities>;
+  using Demand = std::array<double, kPriorityCount>;
 
   struct State {
     /** Flows since the last tick, and the rate that follows from them. */
-    Demand arrived{};
+    Demand arrivals{};
     Demand demand{};
     /** The same of those that were admitted. */
-    double admitted = 0;
-    double admitted_demand = 0;
-    std::array<Duration, kPriorities> targets{};
+    double admitted_count = 0;
+    double admitted_per_second = 0;
+    std::array<Duration, kPriorityCount> targets{};
     /** Flows a second that may pass; negative for all. */
-    double admitted_rate = -1;
+    double rate_limit = -1;
     double level = 0;
     double pressure = 0;
     /** Slots of all servers that may get new flows, and when they were counted. */
     double usable_slots = 0;
-    MonotonicTime slots_at;
-    bool has_servers_elsewhere = false;
+    MonotonicTime slots_counted_at;
+    bool has_remote_backends = false;
     /** Answers of other zones' servers and the sum of their times [s], which fade. */
-    double answers_elsewhere = 0;
-    double answers_elsewhere_s = 0;
-    MonotonicTime elsewhere_at;
-    MonotonicTime ticked_at;
-    bool is_learned = false;
+    double remote_response_count = 0;
+    double remote_response_sum_s = 0;
+    MonotonicTime remote_updated_at;
+    MonotonicTime last_tick_at;
+    bool is_initialized = false;
   };
 
-  double keptElsewhere(const State& state, MonotonicTime now) const;
+  double remoteDecay(const State& state, MonotonicTime now) const;
   /** @return mean time of these answers; zero where too few were seen. */
-  Duration responseElsewhere(const State& state, MonotonicTime now) const;
-  void learnDemand(State& state, MonotonicTime now, double elapsed_s) const;
-  void moveRate(State& state, const ServiceLoad& load, double elapsed_s) const;
+  Duration remoteResponseTime(const State& state, MonotonicTime now) const;
+  void updateDemand(State& state, MonotonicTime now, double elapsed_s) const;
+  void updateRateLimit(State& state, const ServiceLoad& load, double elapsed_s) const;
   /**
    * @return flows a second of the most urgent class that may not be rejected: those that fill the
    * slots, and in any case those in whose place open flows of other classes bring requests. Such
    * flows can't be rejected; their requests leave when servers turn them away.
    */
-  static double urgentRate(const State& state, const PressureInput& input);
+  static double guaranteedUrgentRate(const State& state, const PressureInput& input);
   /** @return requests a second that fill this balancer's part of the slots; 0 where unknown. */
-  static double requestsOfOwnSlots(const PressureInput& input);
+  static double requestCapacity(const PressureInput& input);
   /** @return flows a second that fill this balancer's part of the slots; 0 where unknown. */
-  static double ownSlotsRate(const State& state, const PressureInput& input);
+  static double flowCapacity(const State& state, const PressureInput& input);
   /** @param urgent_rate flows a second of the most urgent class that are never rejected. */
-  static double levelFor(const Demand& demand, double admitted_rate, double urgent_rate);
+  static double levelFor(const Demand& demand, double rate_limit, double guaranteed_rate);
 
   const AdmissionSettings settings_;
   const ServiceLoadEstimator& loads_;
--- a/src/load/load_control.h
+++ b/src/load/load_control.h
@@ -38,16 +38,16 @@
 struct LoadControlSettings {
   /** "off", "in_flight", "response_time" or "share": how pressure is found; "off" still counts. */
   std::string mode = "off";
-  ServiceLoadSettings estimates = {};
+  ServiceLoadSettings estimator = {};
   PressureSettings pressure = {};
   AdmissionSettings admission = {};
   /** Time for which an answer told at once keeps those told later from counting: a weak balancer
    * gets several in it. */
-  Duration prompt_memory = seconds(5);
+  Duration prompt_response_ttl = seconds(5);
   /** Least time between two log lines of a service, so that an overload doesn't fill the log. */
-  Duration log_interval = seconds(1);
+  Duration min_log_interval = seconds(1);
   /** Change of the level that is worth a line; less is the noise of arrivals. */
-  double logged_change = 0.1;
+  double min_logged_change = 0.1;
 };
 
 /** New flows of one priority since the start of the process. */
@@ -59,7 +59,7 @@
 
 class LoadControl : public AdmissionControl {
  public:
-  using CountersByPriority = std::array<AdmissionCounters, kPriorities>;
+  using CountersByPriority = std::array<AdmissionCounters, kPriorityCount>;
 
   LoadControl(const LoadControlSettings& settings, const TimeSource& time_source, EventLog& log);
 
@@ -79,7 +79,7 @@
    * @param is_elsewhere whether the server stands beyond the own zone.
    */
   void onResponse(ServiceId service, Duration duration, bool is_prompt = true,
-                  bool is_elsewhere = false);
+                  bool is_remote = false);
 
   /**
    * Moves the levels; to be called each 100 ms.
@@ -96,24 +96,24 @@
   CountersByPriority counters(ServiceId service) const;
 
  private:
-  struct Record {
+  struct ServiceEntry {
     CountersByPriority counters{};
     /** Last answer that was told at once; unset for none. */
-    MonotonicTime prompt_at;
+    MonotonicTime last_prompt_at;
     double logged_level = 0;
     MonotonicTime logged_at;
     /** Sums as of the last line. */
-    AdmissionCounters logged;
+    AdmissionCounters logged_counters;
   };
 
-  void logChange(const Service& service, Record& record);
+  void logChange(const Service& service, ServiceEntry& entry);
 
   const LoadControlSettings settings_;
   const TimeSource& time_source_;
   EventLog& log_;
   ServiceLoadEstimator estimator_;
   AdmissionController controller_;
-  std::unordered_map<ServiceId, Record> records_;
+  std::unordered_map<ServiceId, ServiceEntry> entries_;
 };
 
 }  // namespace lugfork
--- a/src/load/policy/in_flight_policy.cc
+++ b/src/load/policy/in_flight_policy.cc
@@ -6,8 +6,9 @@
   if (input.usable_slots <= 0 || input.load.response_time.count() <= 0) {
     return 0;
   }
-  const double present = input.load.in_flight * input.balancers / input.usable_slots;
-  return present / requestsPerSlotLimit(settings_, input);
+  const double requests_in_flight =
+      input.load.in_flight * input.balancer_count / input.usable_slots;
+  return requests_in_flight / requestsPerSlotLimit(settings_, input);
 }
 
 }  // namespace lugfork
--- a/src/load/policy/pressure_policy.cc
+++ b/src/load/policy/pressure_policy.cc
@@ -4,29 +4,29 @@
 
 #include "load/policy/in_flight_policy.h"
 #include "load/policy/response_time_policy.h"
-#include "load/policy/share_policy.h"
+#include "load/policy/utilization_policy.h"
 
 namespace lugfork {
 
 double requestsPerSlotLimit(const PressureSettings& settings, const PressureInput& input) {
-  const bool is_told = input.smallest_target.count() > 0 && input.load.service_time.count() > 0;
-  if (!is_told) {
+  const bool has_target = input.min_target.count() > 0 && input.load.service_time.count() > 0;
+  if (!has_target) {
     return settings.requests_per_slot;
   }
-  const std::chrono::duration<double> target = input.smallest_target;
-  const double waits = settings.wait_part * (target / input.load.service_time);
-  return std::clamp(1 + waits, settings.least_requests_per_slot, settings.requests_per_slot);
+  const std::chrono::duration<double> target = input.min_target;
+  const double max_waiting = settings.max_wait_fraction * (target / input.load.service_time);
+  return std::clamp(1 + max_waiting, settings.min_requests_per_slot, settings.requests_per_slot);
 }
 
-bool mayHaveRoomElsewhere(const PressureInput& input) {
+bool remoteBackendsMayHaveCapacity(const PressureInput& input) {
   // Queues that are as full differ by less; a zone that has room answers in half of the time.
-  constexpr double kClearlySooner = 0.7;
-  if (!input.has_servers_elsewhere) {
+  constexpr double kMaxRemoteTimeRatio = 0.7;
+  if (!input.has_remote_backends) {
     return false;
   }
-  const std::chrono::duration<double> here = input.load.response_time;
-  const std::chrono::duration<double> elsewhere = input.response_elsewhere;
-  return elsewhere.count() <= 0 || elsewhere < kClearlySooner * here;
+  const std::chrono::duration<double> local_time = input.load.response_time;
+  const std::chrono::duration<double> remote_time = input.remote_response_time;
+  return remote_time.count() <= 0 || remote_time < kMaxRemoteTimeRatio * local_time;
 }
 
 std::unique_ptr<PressurePolicy> makePressurePolicy(std::string_view name,
@@ -38,7 +38,7 @@
     return std::make_unique<ResponseTimePolicy>(settings);
   }
   if (name == "share") {
-    return std::make_unique<SharePolicy>(settings);
+    return std::make_unique<UtilizationPolicy>(settings);
   }
   return nullptr;
 }
--- a/src/load/policy/pressure_policy.h
+++ b/src/load/policy/pressure_policy.h
@@ -13,20 +13,20 @@
   /** Slots of all servers that may get new flows, wherever they are. */
   double usable_slots = 0;
   /** Balancers that callers reach, this one included. */
-  double balancers = 1;
+  double balancer_count = 1;
   /** Smallest target of the classes that ask for the service; zero where none is told. */
-  Duration smallest_target{};
+  Duration min_target{};
   /** The service has servers beyond the own zone; typical time of their answers, zero for unknown.
    */
-  bool has_servers_elsewhere = false;
-  Duration response_elsewhere{};
+  bool has_remote_backends = false;
+  Duration remote_response_time{};
 };
 
 /**
  * @return true where servers beyond the own zone may have free slots: they answer clearly sooner,
  * or too few of their answers were seen. Flows then leave the zone, and none need be rejected.
  */
-bool mayHaveRoomElsewhere(const PressureInput& input);
+bool remoteBackendsMayHaveCapacity(const PressureInput& input);
 
 /** Limits of a PressurePolicy. */
 struct PressureSettings {
@@ -36,15 +36,15 @@
    */
   double requests_per_slot = 2.2;
   /** Part of the smallest target that a request may wait: the rest is for its work and a retry. */
-  double wait_part = 0.5;
+  double max_wait_fraction = 0.5;
   /** Least limit of requests for each slot, below which slots would often stand free. */
-  double least_requests_per_slot = 1.5;
+  double min_requests_per_slot = 1.5;
   /** Part of the slots that may be filled: arrivals are uneven, and a full queue must shrink. */
-  double share = 0.95;
+  double max_utilization = 0.95;
   /** Requests for each slot below which slots must be free, whatever answers take. */
-  double free_below = 0.7;
+  double free_requests_per_slot = 0.7;
   /** Requests within half a second that are needed: the rate is right to a fifth then. */
-  double requests_needed = 30;
+  double min_requests = 30;
 };
 
 /** @return requests for each slot up to which callers are served in time. */
--- a/src/load/policy/response_time_policy.cc
+++ b/src/load/policy/response_time_policy.cc
@@ -9,9 +9,12 @@
   if (requests_per_slot <= 0 || input.usable_slots <= 0) {
     return 0;
   }
-  const double present = input.load.in_flight * input.balancers / input.usable_slots;
+  const double requests_in_flight =
+      input.load.in_flight * input.balancer_count / input.usable_slots;
   const double pressure = requests_per_slot / requestsPerSlotLimit(settings_, input);
-  return present < settings_.free_below ? std::min(pressure, present) : pressure;
+  return requests_in_flight < settings_.free_requests_per_slot
+             ? std::min(pressure, requests_in_flight)
+             : pressure;
 }
 
 }  // namespace lugfork
--- a/src/load/policy/share_policy.h
+++ b/src/load/policy/utilization_policy.h
@@ -5,9 +5,9 @@
 namespace lugfork {
 
 /** The own part of all requests, taken as that of every balancer, over the slots of the service. */
-class SharePolicy : public PressurePolicy {
+class UtilizationPolicy : public PressurePolicy {
  public:
-  explicit SharePolicy(const PressureSettings& settings) : settings_(settings) {}
+  explicit UtilizationPolicy(const PressureSettings& settings) : settings_(settings) {}
 
   double pressure(const PressureInput& input) const override;
 
--- a/tests/load/admission_controller_test.cc
+++ b/tests/load/admission_controller_test.cc
@@ -90,13 +90,13 @@
 TEST_CASE("Nothing is rejected for a full zone while servers of another may have room") {
   PressureInput input;
   input.load.response_time = milliseconds(90);
-  CHECK_FALSE(mayHaveRoomElsewhere(input));
-  input.has_servers_elsewhere = true;
-  CHECK(mayHaveRoomElsewhere(input));
-  input.response_elsewhere = milliseconds(30);
-  CHECK(mayHaveRoomElsewhere(input));
-  input.response_elsewhere = milliseconds(80);
-  CHECK_FALSE(mayHaveRoomElsewhere(input));
+  CHECK_FALSE(remoteBackendsMayHaveCapacity(input));
+  input.has_remote_backends = true;
+  CHECK(remoteBackendsMayHaveCapacity(input));
+  input.remote_response_time = milliseconds(30);
+  CHECK(remoteBackendsMayHaveCapacity(input));
+  input.remote_response_time = milliseconds(80);
+  CHECK_FALSE(remoteBackendsMayHaveCapacity(input));
 }
 
 TEST_CASE("A level falls to zero within two seconds once the load has gone or isn't known") {
@@ -166,7 +166,7 @@
     CHECK(control.load(ServiceId(77)).requestsPerBusySlot() == 0);
     CHECK(control.counters(ServiceId(77))[0].offered == 0);
     // The service was gone for a moment: its counters hold the 40 flows of each of 19 tenths.
-    CHECK(control.counters(ServiceId(1))[kPriorities - 1].offered == 760);
+    CHECK(control.counters(ServiceId(1))[kPriorityCount - 1].offered == 760);
   }
 }
 
@@ -174,14 +174,14 @@
   const PressureSettings settings;
   PressureInput input;
   input.usable_slots = 10;
-  input.balancers = 2;
+  input.balancer_count = 2;
   input.load = {100, milliseconds(20), milliseconds(44), 20};
   const auto by_time = makePressurePolicy("response_time", settings);
   const auto by_share = makePressurePolicy("share", settings);
   CHECK(makePressurePolicy("off", settings) == nullptr);
   CHECK(by_time->pressure(input) == Approx(1));
   CHECK(by_share->pressure(input) == Approx(0.4 / 0.95));
-  input.smallest_target = milliseconds(28);
+  input.min_target = milliseconds(28);
   CHECK(by_time->pressure(input) == Approx(2.2 / 1.7));
   input.load.in_flight = 2;
   CHECK(by_time->pressure(input) == Approx(0.4));
