--- a/src/load/opening_backlog.cc
+++ b/src/load/opening_backlog.cc
@@ -5,105 +5,106 @@
 
 namespace lugfork {
 
-void OpeningBacklog::add(WaitingOpening opening) {
-  const auto same =
-      std::find_if(waiting_.begin(), waiting_.end(),
-                   [&](const WaitingOpening& waiting) { return waiting.flow == opening.flow; });
-  if (same != waiting_.end()) {
-    join(*same, std::move(opening));
-    std::rotate(same, same + 1, waiting_.end());
-    ++counters_.joined;
+void OpeningBacklog::add(PendingOpening opening) {
+  const auto existing =
+      std::find_if(pending_.begin(), pending_.end(),
+                   [&](const PendingOpening& pending) { return pending.flow == opening.flow; });
+  if (existing != pending_.end()) {
+    merge(*existing, std::move(opening));
+    std::rotate(existing, existing + 1, pending_.end());
+    ++counters_.merged;
     return;
   }
-  if (opening.copies > 0 && wasJustServed(opening.flow, opening.read_at)) {
-    ++counters_.joined;
+  if (opening.retransmissions > 0 && wasRecentlyServed(opening.flow, opening.read_at)) {
+    ++counters_.merged;
     return;
   }
-  if (waiting_.size() >= settings_.size) {
-    waiting_.pop_front();
-    ++counters_.crowded_out;
+  if (pending_.size() >= settings_.max_openings) {
+    pending_.pop_front();
+    ++counters_.evicted;
   }
-  waiting_.push_back(std::move(opening));
+  pending_.push_back(std::move(opening));
 }
 
-void OpeningBacklog::join(WaitingOpening& waiting, WaitingOpening copy) {
-  const bool was_whole_here = waiting.isWholeHere();
-  const std::uint32_t joined = waiting.joined + 1;
+void OpeningBacklog::merge(PendingOpening& pending, PendingOpening later) {
+  const bool had_all_transmissions = pending.hasAllTransmissions();
+  const std::uint32_t merged = pending.merged + 1;
   // The earlier bytes tell the router that no server was asked yet; they hold while all are here.
-  if (!was_whole_here || copy.copies != joined) {
-    waiting.bytes = std::move(copy.bytes);
+  if (!had_all_transmissions || later.retransmissions != merged) {
+    pending.bytes = std::move(later.bytes);
   }
-  waiting.joined = joined;
-  waiting.copies = copy.copies;
-  waiting.read_at = copy.read_at;
-  waiting.waits_since = copy.waits_since;
-  waiting.oldest_arrival = copy.oldest_arrival;
+  pending.merged = merged;
+  pending.retransmissions = later.retransmissions;
+  pending.read_at = later.read_at;
+  pending.queued_since = later.queued_since;
+  pending.earliest_arrival = later.earliest_arrival;
 }
 
-void OpeningBacklog::onGivenUp(const FlowId& flow) {
-  counters_.given_up +=
-      std::erase_if(waiting_, [&](const WaitingOpening& waiting) { return waiting.flow == flow; });
+void OpeningBacklog::onAbandoned(const FlowId& flow) {
+  counters_.abandoned +=
+      std::erase_if(pending_, [&](const PendingOpening& pending) { return pending.flow == flow; });
 }
 
-std::optional<WaitingOpening> OpeningBacklog::take(MonotonicTime now) {
-  counters_.outlived += std::erase_if(
-      waiting_, [&](const WaitingOpening& waiting) { return isOutlived(waiting, now); });
-  if (waiting_.empty()) {
+std::optional<PendingOpening> OpeningBacklog::take(MonotonicTime now) {
+  counters_.expired += std::erase_if(
+      pending_, [&](const PendingOpening& pending) { return isExpired(pending, now); });
+  if (pending_.empty()) {
     return std::nullopt;
   }
-  const bool newest_first = now - waiting_.front().read_at >= settings_.newest_first_after;
-  const auto next = newest_first ? latestBegun() : waiting_.begin();
-  WaitingOpening taken = std::move(*next);
-  waiting_.erase(next);
-  if (served_.size() >= settings_.size) {
+  const bool newest_first = now - pending_.front().read_at >= settings_.newest_first_delay;
+  const auto next = newest_first ? latestStarted() : pending_.begin();
+  PendingOpening taken = std::move(*next);
+  pending_.erase(next);
+  if (served_.size() >= settings_.max_openings) {
     served_.pop_front();
   }
   served_.emplace_back(taken.flow, now);
   return taken;
 }
 
-bool OpeningBacklog::wasJustServed(const FlowId& flow, MonotonicTime now) {
-  while (!served_.empty() && now - served_.front().second >= settings_.answered_in) {
+bool OpeningBacklog::wasRecentlyServed(const FlowId& flow, MonotonicTime now) {
+  while (!served_.empty() && now - served_.front().second >= settings_.duplicate_window) {
     served_.pop_front();
   }
   return std::any_of(served_.begin(), served_.end(),
                      [&](const auto& served) { return served.first == flow; });
 }
 
-std::optional<WaitingOpening> OpeningBacklog::takeToReject(MonotonicTime now) {
-  if (!settings_.rejects) {
+std::optional<PendingOpening> OpeningBacklog::takeForRejection(MonotonicTime now) {
+  if (!settings_.rejects_late) {
     return std::nullopt;
   }
-  const auto found =
-      std::find_if(waiting_.begin(), waiting_.end(), [&](const WaitingOpening& waiting) {
-        return waiting.copies == 0 && now - waiting.read_at >= settings_.certain_for / 2 &&
-               now - waiting.oldest_arrival <= settings_.certain_for;
+  const auto selected =
+      std::find_if(pending_.begin(), pending_.end(), [&](const PendingOpening& pending) {
+        return pending.retransmissions == 0 &&
+               now - pending.read_at >= settings_.exclusive_window / 2 &&
+               now - pending.earliest_arrival <= settings_.exclusive_window;
       });
-  if (found == waiting_.end()) {
+  if (selected == pending_.end()) {
     return std::nullopt;
   }
-  WaitingOpening taken = std::move(*found);
-  waiting_.erase(found);
+  PendingOpening taken = std::move(*selected);
+  pending_.erase(selected);
   return taken;
 }
 
-std::size_t OpeningBacklog::copyOf(const WaitingOpening& opening) const {
-  return std::min<std::size_t>(opening.copies, settings_.sent_after.size() - 1);
+std::size_t OpeningBacklog::transmissionIndex(const PendingOpening& opening) const {
+  return std::min<std::size_t>(opening.retransmissions, settings_.transmission_offsets.size() - 1);
 }
 
-MonotonicTime OpeningBacklog::begunAt(const WaitingOpening& opening) const {
-  return opening.read_at - settings_.sent_after[copyOf(opening)];
+MonotonicTime OpeningBacklog::startedAt(const PendingOpening& opening) const {
+  return opening.read_at - settings_.transmission_offsets[transmissionIndex(opening)];
 }
 
-std::deque<WaitingOpening>::iterator OpeningBacklog::latestBegun() {
-  return std::max_element(waiting_.begin(), waiting_.end(),
-                          [this](const WaitingOpening& one, const WaitingOpening& other) {
-                            return begunAt(one) <= begunAt(other);
+std::deque<PendingOpening>::iterator OpeningBacklog::latestStarted() {
+  return std::max_element(pending_.begin(), pending_.end(),
+                          [this](const PendingOpening& one, const PendingOpening& other) {
+                            return startedAt(one) <= startedAt(other);
                           });
 }
 
-bool OpeningBacklog::isOutlived(const WaitingOpening& opening, MonotonicTime now) const {
-  return now - opening.read_at >= settings_.useful_for[copyOf(opening)];
+bool OpeningBacklog::isExpired(const PendingOpening& opening, MonotonicTime now) const {
+  return now - opening.read_at >= settings_.transmission_ttls[transmissionIndex(opening)];
 }
 
 }  // namespace lugfork
--- a/src/load/receive_backlog.cc
+++ b/src/load/receive_backlog.cc
@@ -4,60 +4,61 @@
 
 namespace lugfork {
 
-void ReceiveBacklog::onTurn(const ReceiveTurn& turn, MonotonicTime now) {
-  noteStop(now);
-  noteQueue(turn, now);
-  if (standing_) {
-    measureRate(turn, now);
+void ReceiveBacklog::onBatch(const ReceiveBatch& batch, MonotonicTime now) {
+  detectPause(now);
+  updateQueueState(batch, now);
+  if (has_queue_) {
+    measureRate(batch, now);
   }
-  turn_at_ = now;
+  last_batch_at_ = now;
 }
 
-void ReceiveBacklog::noteStop(MonotonicTime now) {
+void ReceiveBacklog::detectPause(MonotonicTime now) {
   // With datagrams at hand the next turn follows at once.
-  if (standing_ && now - turn_at_ >= settings_.stopped_after) {
-    ++stops_;
+  if (has_queue_ && now - last_batch_at_ >= settings_.min_pause) {
+    ++pauses_;
     // The rate of a process that did not run shows nothing.
-    measured_ = 0;
+    measured_datagrams_ = 0;
     measured_from_ = now;
   }
 }
 
-void ReceiveBacklog::noteQueue(const ReceiveTurn& turn, MonotonicTime now) {
-  if (turn.is_empty) {
-    if (turn.is_certain) {
-      empty_at_ = now;
+void ReceiveBacklog::updateQueueState(const ReceiveBatch& batch, MonotonicTime now) {
+  if (batch.is_empty) {
+    if (batch.is_certain) {
+      last_empty_at_ = now;
     }
     if (behind_) {
       caught_up_at_ = now;
     }
-    standing_ = false;
+    has_queue_ = false;
     behind_ = false;
     return;
   }
-  if (!standing_) {
-    standing_ = true;
-    standing_since_ = now;
-    measured_ = 0;
+  if (!has_queue_) {
+    has_queue_ = true;
+    queue_since_ = now;
+    measured_datagrams_ = 0;
     measured_from_ = now;
   }
-  if (!behind_ && now - standing_since_ >= settings_.behind_after) {
+  if (!behind_ && now - queue_since_ >= settings_.behind_delay) {
     behind_ = true;
     was_behind_ = true;
     ++times_behind_;
   }
 }
 
-void ReceiveBacklog::measureRate(const ReceiveTurn& turn, MonotonicTime now) {
-  measured_ += turn.datagrams;
+void ReceiveBacklog::measureRate(const ReceiveBatch& batch, MonotonicTime now) {
+  measured_datagrams_ += batch.datagrams;
   const Duration elapsed = now - measured_from_;
-  if (elapsed < settings_.socket_holds) {
+  if (elapsed < settings_.max_socket_delay) {
     return;
   }
-  const std::size_t held = measured_ * static_cast<std::size_t>(settings_.socket_holds.count()) /
-                           static_cast<std::size_t>(elapsed.count());
-  socket_datagrams_ = std::clamp(held, settings_.fewest_datagrams, settings_.most_datagrams);
-  measured_ = 0;
+  const std::size_t capacity = measured_datagrams_ *
+                               static_cast<std::size_t>(settings_.max_socket_delay.count()) /
+                               static_cast<std::size_t>(elapsed.count());
+  socket_datagrams_ = std::clamp(capacity, settings_.min_datagrams, settings_.max_datagrams);
+  measured_datagrams_ = 0;
   measured_from_ = now;
 }
 
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -105,7 +105,7 @@
     return;
   }
   socket_.receiveWaiting();
-  receive_backlog_.onTurn({0, true}, time_source_.monotonicTime());
+  receive_backlog_.onBatch({0, true}, time_source_.monotonicTime());
   batch_at_.reset();
   scheduler_.callAfter(kEarlyReadInterval, [this] { readEarlyPackets(); });
 }
@@ -114,7 +114,7 @@
   ready_ = node_.isReady();
   is_serving_ = true;
   receive_backlog_.onDelayed(time_source_.monotonicTime());
-  socket_.startReceivingBatches([this](const ReceiveTurn& turn) { return onTurn(turn); },
+  socket_.startReceivingBatches([this](const ReceiveBatch& turn) { return onTurn(turn); },
                                 [this] { return moreExpected(); });
 }
 
@@ -246,7 +246,7 @@
     return;
   }
   if (packet.aborts && !openings_.isEmpty()) {
-    openings_.onGivenUp(packet.flow());
+    openings_.onAbandoned(packet.flow());
   }
   if (is_serving_) {
     handle(packet, bytes);
@@ -268,21 +268,21 @@
 }
 
 void PacketDaemon::addOpening(const FlowPacket& packet, std::span<const std::uint8_t> bytes) {
-  WaitingOpening opening;
+  PendingOpening opening;
   opening.flow = packet.flow();
-  opening.copies = packet.acknowledged;
+  opening.retransmissions = packet.acknowledged;
   opening.read_at = *batch_at_;
-  opening.waits_since = receive_backlog_.waitingSince(*batch_at_);
-  opening.oldest_arrival = receive_backlog_.emptyAt();
+  opening.queued_since = receive_backlog_.queuedSince(*batch_at_);
+  opening.earliest_arrival = receive_backlog_.lastEmptyAt();
   opening.bytes.assign(bytes.begin(), bytes.end());
   openings_.add(std::move(opening));
 }
 
-bool PacketDaemon::onTurn(const ReceiveTurn& turn) {
+bool PacketDaemon::onTurn(const ReceiveBatch& turn) {
   if (!batch_at_) {
     handled_at_ = time_source_.monotonicTime();
   }
-  receive_backlog_.onTurn(turn, batch_at_.value_or(handled_at_));
+  receive_backlog_.onBatch(turn, batch_at_.value_or(handled_at_));
   batch_at_.reset();
   if (receive_backlog_.evidenceIsStale(handled_at_)) {
     node_.onBehind();
@@ -334,8 +334,8 @@
 }
 
 void PacketDaemon::rejectOpening() {
-  const auto opening = receive_backlog_.isBehind() ? openings_.takeToReject(handled_at_)
-                                                   : std::optional<WaitingOpening>();
+  const auto opening = receive_backlog_.isBehind() ? openings_.takeForRejection(handled_at_)
+                                                   : std::optional<PendingOpening>();
   if (!opening) {
     return;
   }
@@ -345,7 +345,7 @@
   if (log_.wouldWrite(LogLevel::Info, "flow", "opening_rejected_behind")) {
     log_.write(LogLevel::Info, "flow", "opening_rejected_behind",
                {{"flow", flowName(packet)},
-                {"waited_ms", toMilliseconds(handled_at_ - opening->waits_since)}});
+                {"waited_ms", toMilliseconds(handled_at_ - opening->queued_since)}});
   }
 }
 
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -109,7 +109,7 @@
   void onComplete();
   void serveEarlyPackets(std::size_t most);
   /** Serves openings after packets of open flows. @return true where more wait. */
-  bool onTurn(const ReceiveTurn& turn);
+  bool onTurn(const ReceiveBatch& turn);
   /** @return true where the batch at hand began just after the last one ended. */
   bool moreExpected() const;
   void onBehindChanged();
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -44,16 +44,16 @@
   addCounter(page, "lugfork_behind_total", "Times the packet socket did not empty for 100 ms.",
              figures.receive_backlog->timesBehind());
   addCounter(page, "lugfork_stops_total", "Times the process stood still with packets at hand.",
-             figures.receive_backlog->stops());
+             figures.receive_backlog->pauses());
   const char* help = "Packets dropped.";
   const OpeningBacklogCounters& counters = figures.openings->counters();
-  addCounter(page, "lugfork_packets_dropped_total", help, counters.outlived,
+  addCounter(page, "lugfork_packets_dropped_total", help, counters.expired,
              {{"cause", "opening_outlived"}});
-  addCounter(page, "lugfork_packets_dropped_total", help, counters.crowded_out,
+  addCounter(page, "lugfork_packets_dropped_total", help, counters.evicted,
              {{"cause", "opening_crowded_out"}});
-  addCounter(page, "lugfork_packets_dropped_total", help, counters.joined,
+  addCounter(page, "lugfork_packets_dropped_total", help, counters.merged,
              {{"cause", "opening_copy_joined"}});
-  addCounter(page, "lugfork_packets_dropped_total", help, counters.given_up,
+  addCounter(page, "lugfork_packets_dropped_total", help, counters.abandoned,
              {{"cause", "opening_given_up"}});
   addCounter(page, "lugfork_packets_dropped_total", help, figures.sockets.early_packets_dropped,
              {{"cause", "before_first_view"}});
--- a/src/runtime/udp_endpoint.cc
+++ b/src/runtime/udp_endpoint.cc
@@ -100,7 +100,7 @@
   finishTurn({batch.datagrams, batch.is_empty});
 }
 
-void UdpEndpoint::finishTurn(const ReceiveTurn& turn) {
+void UdpEndpoint::finishTurn(const ReceiveBatch& turn) {
   const bool wants_turn = on_turn_(turn);
   if (turn.is_empty && !wants_turn) {
     awaitDatagram();
--- a/src/runtime/udp_endpoint.h
+++ b/src/runtime/udp_endpoint.h
@@ -34,7 +34,7 @@
    * Called after each read of a batch, once its datagrams were handed over.
    * @return true where it is to be called again soon, also where the socket is empty.
    */
-  using TurnHandler = std::function<bool(const ReceiveTurn&)>;
+  using TurnHandler = std::function<bool(const ReceiveBatch&)>;
 
   /** @return true where more datagrams may wait behind the one that was handed over last. */
   using MoreExpected = std::function<bool()>;
@@ -66,7 +66,7 @@
   void awaitDatagram();
   void onDatagramAfterPause(std::size_t size);
   void receiveBatch();
-  void finishTurn(const ReceiveTurn& turn);
+  void finishTurn(const ReceiveBatch& turn);
 
   boost::asio::ip::udp::socket socket_;
   Handler handler_;
--- a/tests/load/ingress_replay.h
+++ b/tests/load/ingress_replay.h
@@ -93,7 +93,7 @@
   struct Packet {
     MonotonicTime at;
     std::uint64_t flow = 0;
-    std::uint32_t copies = 0;
+    std::uint32_t retransmissions = 0;
     /** 0 for an opening. */
     int number = 0;
     bool operator<(const Packet& other) const { return at > other.at; }
@@ -181,7 +181,7 @@
       packet.number > 0 ? forward(packet) : add(packet);
     }
     const bool is_empty = found < kBatch;
-    backlog_.onTurn({found, is_empty}, read_at);
+    backlog_.onBatch({found, is_empty}, read_at);
     for (std::size_t most = is_empty ? 16 : 2; most > 0; --most) {
       const auto opening = openings_.take(now_);
       if (!opening) {
@@ -192,9 +192,9 @@
   }
 
   void add(const Packet& packet) {
-    WaitingOpening opening;
+    PendingOpening opening;
     opening.flow = {0, packet.flow};
-    opening.copies = packet.copies;
+    opening.retransmissions = packet.retransmissions;
     opening.read_at = now_;
     openings_.add(std::move(opening));
   }
--- a/tests/load/opening_backlog_test.cc
+++ b/tests/load/opening_backlog_test.cc
@@ -6,22 +6,22 @@
 namespace {
 
 struct OpeningHarness {
-  explicit OpeningHarness(bool rejects = false) : backlog(settingsOf(rejects)) {}
+  explicit OpeningHarness(bool rejects_late = false) : backlog(settingsOf(rejects_late)) {}
 
-  static OpeningBacklogSettings settingsOf(bool rejects) {
+  static OpeningBacklogSettings settingsOf(bool rejects_late) {
     OpeningBacklogSettings settings;
-    settings.rejects = rejects;
+    settings.rejects_late = rejects_late;
     return settings;
   }
 
-  void add(std::uint64_t flow, std::uint32_t copies = 0) {
-    WaitingOpening opening;
+  void add(std::uint64_t flow, std::uint32_t retransmissions = 0) {
+    PendingOpening opening;
     opening.flow = {0, flow};
-    opening.copies = copies;
+    opening.retransmissions = retransmissions;
     opening.read_at = now;
-    opening.waits_since = now;
-    opening.oldest_arrival = now - milliseconds(10);
-    opening.bytes = {static_cast<std::uint8_t>(copies)};
+    opening.queued_since = now;
+    opening.earliest_arrival = now - milliseconds(10);
+    opening.bytes = {static_cast<std::uint8_t>(retransmissions)};
     backlog.add(std::move(opening));
   }
 
@@ -72,12 +72,12 @@
   SECTION("the second copy comes 400 ms after the first copy") {
     harness.now += milliseconds(400);
     CHECK(harness.take() == 3);
-    CHECK(harness.backlog.counters().outlived == 2);
+    CHECK(harness.backlog.counters().expired == 2);
   }
   SECTION("nobody waits 800 ms after the second copy") {
     harness.now += milliseconds(800);
     CHECK(harness.take() == 0);
-    CHECK(harness.backlog.counters().outlived == 3);
+    CHECK(harness.backlog.counters().expired == 3);
   }
 }
 
@@ -94,7 +94,7 @@
     REQUIRE(taken);
     CHECK(taken->flow.low == 1);
     CHECK(taken->bytes == std::vector<std::uint8_t>{0});
-    CHECK(taken->isWholeHere());
+    CHECK(taken->hasAllTransmissions());
   }
   SECTION("where a copy between went elsewhere, a server may have been asked") {
     OpeningHarness other;
@@ -103,7 +103,7 @@
     const auto taken = other.backlog.take(other.now);
     REQUIRE(taken);
     CHECK(taken->bytes == std::vector<std::uint8_t>{2});
-    CHECK_FALSE(taken->isWholeHere());
+    CHECK_FALSE(taken->hasAllTransmissions());
   }
 }
 
@@ -140,10 +140,10 @@
   OpeningHarness harness;
   harness.add(1);
   harness.add(2);
-  harness.backlog.onGivenUp({0, 1});
+  harness.backlog.onAbandoned({0, 1});
   CHECK(harness.take() == 2);
   CHECK(harness.take() == 0);
-  CHECK(harness.backlog.counters().given_up == 1);
+  CHECK(harness.backlog.counters().abandoned == 1);
 }
 
 TEST_CASE("the backlog is bounded, and the oldest make room", "[opening_backlog]") {
@@ -152,7 +152,7 @@
     harness.add(flow);
   }
   CHECK(harness.backlog.size() == 512);
-  CHECK(harness.backlog.counters().crowded_out == 88);
+  CHECK(harness.backlog.counters().evicted == 88);
   CHECK(harness.take() == 89);
 }
 
@@ -162,25 +162,25 @@
     OpeningHarness other;
     other.add(1);
     other.now += milliseconds(60);
-    CHECK_FALSE(other.backlog.takeToReject(other.now));
+    CHECK_FALSE(other.backlog.takeForRejection(other.now));
   }
   SECTION("a first opening between 50 and 100 ms") {
     harness.add(1);
     harness.now += milliseconds(49);
-    CHECK_FALSE(harness.backlog.takeToReject(harness.now));
+    CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
     harness.now += milliseconds(1);
-    CHECK(harness.backlog.takeToReject(harness.now).has_value());
+    CHECK(harness.backlog.takeForRejection(harness.now).has_value());
   }
   SECTION("not one that may have come more than 100 ms ago") {
     harness.add(1);
     harness.now += milliseconds(91);
-    CHECK_FALSE(harness.backlog.takeToReject(harness.now));
+    CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
     CHECK(harness.take() == 1);
   }
   SECTION("no copy") {
     harness.add(1, 1);
     harness.now += milliseconds(60);
-    CHECK_FALSE(harness.backlog.takeToReject(harness.now));
+    CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
   }
 }
 
--- a/tests/load/receive_backlog_test.cc
+++ b/tests/load/receive_backlog_test.cc
@@ -10,7 +10,7 @@
   void read(Duration span, Duration step, std::size_t datagrams, bool is_empty) {
     for (Duration elapsed{}; elapsed < span; elapsed += step) {
       now += step;
-      backlog.onTurn({datagrams, is_empty}, now);
+      backlog.onBatch({datagrams, is_empty}, now);
     }
   }
 
@@ -22,7 +22,7 @@
   BacklogHarness harness;
   harness.read(seconds(1), milliseconds(20), 5, true);
   CHECK_FALSE(harness.backlog.isBehind());
-  CHECK(harness.backlog.standingFor(harness.now) == Duration::zero());
+  CHECK(harness.backlog.queuedFor(harness.now) == Duration::zero());
   SECTION("also with a burst that is over before callers send copies") {
     harness.read(milliseconds(90), milliseconds(10), 32, false);
     CHECK_FALSE(harness.backlog.isBehind());
@@ -34,7 +34,7 @@
     harness.now += seconds(60);
     harness.read(milliseconds(10), milliseconds(10), 1, false);
     CHECK_FALSE(harness.backlog.isBehind());
-    CHECK(harness.backlog.stops() == 0);
+    CHECK(harness.backlog.pauses() == 0);
   }
 }
 
@@ -43,7 +43,7 @@
   harness.read(milliseconds(110), milliseconds(10), 32, false);
   CHECK(harness.backlog.isBehind());
   CHECK(harness.backlog.timesBehind() == 1);
-  CHECK(harness.backlog.standingFor(harness.now) == milliseconds(100));
+  CHECK(harness.backlog.queuedFor(harness.now) == milliseconds(100));
   CHECK(harness.backlog.delay(harness.now) == milliseconds(100));
   harness.read(seconds(2), milliseconds(10), 32, false);
   CHECK(harness.backlog.delay(harness.now) == milliseconds(250));
@@ -59,17 +59,17 @@
   BacklogHarness harness;
   harness.read(milliseconds(10), milliseconds(10), 1, true);
   const MonotonicTime empty_at = harness.now;
-  CHECK(harness.backlog.waitingSince(harness.now) == empty_at);
+  CHECK(harness.backlog.queuedSince(harness.now) == empty_at);
   harness.read(milliseconds(50), milliseconds(10), 32, false);
-  CHECK(harness.backlog.emptyAt() == empty_at);
-  CHECK(harness.backlog.waitingSince(harness.now) == empty_at + milliseconds(10));
+  CHECK(harness.backlog.lastEmptyAt() == empty_at);
+  CHECK(harness.backlog.queuedSince(harness.now) == empty_at + milliseconds(10));
   harness.read(milliseconds(10), milliseconds(10), 1, true);
-  CHECK(harness.backlog.emptyAt() == empty_at + milliseconds(60));
+  CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
   // A single datagram after a pause shows nothing of what came behind it.
   harness.now += milliseconds(10);
-  harness.backlog.onTurn({1, true, false}, harness.now);
-  CHECK(harness.backlog.emptyAt() == empty_at + milliseconds(60));
-  CHECK(harness.backlog.waitingSince(harness.now) == harness.now);
+  harness.backlog.onBatch({1, true, false}, harness.now);
+  CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
+  CHECK(harness.backlog.queuedSince(harness.now) == harness.now);
 }
 
 TEST_CASE("after packets that waited for a first view evidence is stale for a while",
@@ -103,7 +103,7 @@
   harness.read(milliseconds(40), milliseconds(10), 32, false);
   harness.now += seconds(2);
   harness.read(milliseconds(10), milliseconds(10), 32, false);
-  CHECK(harness.backlog.stops() == 1);
+  CHECK(harness.backlog.pauses() == 1);
   CHECK(harness.backlog.isBehind());
   CHECK(harness.backlog.socketDatagrams() == 1024);
 }
--- a/tests/runtime/udp_endpoint_test.cc
+++ b/tests/runtime/udp_endpoint_test.cc
@@ -35,7 +35,7 @@
 
   void start() {
     receiver.startReceivingBatches(
-        [this](const ReceiveTurn& turn) {
+        [this](const ReceiveBatch& turn) {
           turns.push_back(turn);
           return further_turns > 0 && --further_turns >= 0;
         },
@@ -54,7 +54,7 @@
   std::vector<std::size_t> numbers;
   std::vector<std::size_t> sizes;
   std::vector<Endpoint> senders;
-  std::vector<ReceiveTurn> turns;
+  std::vector<ReceiveBatch> turns;
   int further_turns = 0;
   bool more_expected = true;
   std::size_t sent = 0;
