--- a/src/load/service_load.cc
+++ b/src/load/service_load.cc
@@ -13,39 +13,39 @@
  * An answer shorter than the usual one over this says that the request did not run: servers queue a
  * few requests for each slot, so one that ran at once takes more than a sixth of one that waited.
  */
-constexpr double kRejectionPart = 6;
+constexpr double kMinRejectionRatio = 6;
 /** Answers of at least this part of the service time have run, however long others wait... */
-constexpr double kWorkedPart = 0.7;
+constexpr double kMinWorkFraction = 0.7;
 /** ...and shorter ones have not where the others take this multiple: they met full servers. */
-constexpr double kQueuedFrom = 2;
+constexpr double kMinQueueRatio = 2;
 /** Time and surplus over which answers that seem to be rejections show that work has changed. */
-constexpr Duration kChangeWindow = seconds(5);
-constexpr double kChangeSurplus = 20;
+constexpr Duration kWorkChangeTimeConstant = seconds(5);
+constexpr double kMinWorkChangeRatio = 20;
 /** Service times over which slow answers are smoothed, so that a weak balancer sees some. */
-constexpr int kSmoothedAnswers = 3;
+constexpr int kSmoothedServiceTimes = 3;
 /** Longest smoothing: callers that give up after a second or two must not pass unseen. */
-constexpr Duration kLongestSmoothing = seconds(2);
+constexpr Duration kMaxSmoothingTimeConstant = seconds(2);
 
 double inMilliseconds(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-Duration ofMilliseconds(double value) {
+Duration fromMilliseconds(double value) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(value));
 }
 
 /** Sum of which old parts fade. */
-struct FadingSum {
+struct DecayingSum {
   double value = 0;
-  MonotonicTime at;
+  MonotonicTime updated_at;
 
-  double now(MonotonicTime time, Duration lifetime) const {
-    const double age = static_cast<double>((time - at).count());
-    return value * std::exp(-age / static_cast<double>(lifetime.count()));
+  double valueAt(MonotonicTime time, Duration time_constant) const {
+    const double age = static_cast<double>((time - updated_at).count());
+    return value * std::exp(-age / static_cast<double>(time_constant.count()));
   }
-  void add(double amount, MonotonicTime time, Duration lifetime) {
-    value = now(time, lifetime) + amount;
-    at = time;
+  void add(double amount, MonotonicTime time, Duration time_constant) {
+    value = valueAt(time, time_constant) + amount;
+    updated_at = time;
   }
 };
 
@@ -59,32 +59,35 @@
 }
 
 struct ServiceLoadEstimator::State {
-  explicit State(Duration memory, MonotonicTime now) : service_time(memory), since(now) {}
+  explicit State(Duration service_time_window, MonotonicTime now)
+      : service_time(service_time_window), created_at(now) {}
 
   ServiceTime service_time;
-  MonotonicTime since;
-  FadingSum requests;
-  FadingSum answers;
-  FadingSum answers_ms;
-  FadingSum believed;
-  FadingSum unbelieved;
-
-  Duration smoothing(const ServiceLoadSettings& settings, MonotonicTime now) const {
-    const Duration service = ofMilliseconds(service_time.valueMs(now));
-    return std::clamp(kSmoothedAnswers * service, settings.smoothing,
-                      std::max(settings.smoothing, kLongestSmoothing));
+  MonotonicTime created_at;
+  DecayingSum requests;
+  DecayingSum responses;
+  DecayingSum response_sum_ms;
+  DecayingSum work_responses;
+  DecayingSum presumed_rejections;
+
+  Duration smoothingTimeConstant(const ServiceLoadSettings& settings, MonotonicTime now) const {
+    const Duration service = fromMilliseconds(service_time.valueMs(now));
+    return std::clamp(kSmoothedServiceTimes * service, settings.smoothing_time_constant,
+                      std::max(settings.smoothing_time_constant, kMaxSmoothingTimeConstant));
   }
 
   /** @return mean of the answers of the last moments [ms]; 0 without any. */
-  double responseMs() const { return answers.value > 0 ? answers_ms.value / answers.value : 0; }
+  double meanResponseMs() const {
+    return responses.value > 0 ? response_sum_ms.value / responses.value : 0;
+  }
 
-  bool isRejection(double answer_ms, MonotonicTime now) const {
+  bool isPresumedRejection(double response_ms, MonotonicTime now) const {
     const double service_ms = service_time.valueMs(now);
-    const double usual_ms = responseMs();
-    if (service_ms <= 0 || usual_ms < kQueuedFrom * service_ms) {
-      return answer_ms * kRejectionPart < std::max(service_ms, usual_ms);
+    const double mean_ms = meanResponseMs();
+    if (service_ms <= 0 || mean_ms < kMinQueueRatio * service_ms) {
+      return response_ms * kMinRejectionRatio < std::max(service_ms, mean_ms);
     }
-    return answer_ms < kWorkedPart * service_ms;
+    return response_ms < kMinWorkFraction * service_ms;
   }
 };
 
@@ -96,53 +99,59 @@
 
 ServiceLoadEstimator::State& ServiceLoadEstimator::stateOf(ServiceId service) {
   const MonotonicTime now = time_source_.monotonicTime();
-  return states_.try_emplace(service, settings_.service_time_memory, now).first->second;
+  return states_.try_emplace(service, settings_.service_time_window, now).first->second;
 }
 
 void ServiceLoadEstimator::onRequest(ServiceId service) {
-  stateOf(service).requests.add(1, time_source_.monotonicTime(), settings_.smoothing);
+  stateOf(service).requests.add(1, time_source_.monotonicTime(), settings_.smoothing_time_constant);
 }
 
 void ServiceLoadEstimator::onResponse(ServiceId service, Duration duration) {
   const MonotonicTime now = time_source_.monotonicTime();
-  const double answer_ms = std::max(inMilliseconds(duration), 0.0);
+  const double response_ms = std::max(inMilliseconds(duration), 0.0);
   State& state = stateOf(service);
-  if (state.isRejection(answer_ms, now)) {
-    state.unbelieved.add(1, now, kChangeWindow);
-    const double believed = state.believed.now(now, kChangeWindow);
-    if (state.unbelieved.now(now, kChangeWindow) < kChangeSurplus * (1 + believed)) {
+  if (state.isPresumedRejection(response_ms, now)) {
+    state.presumed_rejections.add(1, now, kWorkChangeTimeConstant);
+    const double work_responses = state.work_responses.valueAt(now, kWorkChangeTimeConstant);
+    if (state.presumed_rejections.valueAt(now, kWorkChangeTimeConstant) <
+        kMinWorkChangeRatio * (1 + work_responses)) {
       return;
     }
     // Nearly all answers are that short: they are the work.
-    state.service_time = ServiceTime(settings_.service_time_memory);
-    state.answers = state.answers_ms = state.unbelieved = {};
+    state.service_time = ServiceTime(settings_.service_time_window);
+    state.responses = state.response_sum_ms = state.presumed_rejections = {};
   }
-  const Duration smoothing = state.smoothing(settings_, now);
-  state.believed.add(1, now, kChangeWindow);
-  state.answers.add(1, now, smoothing);
-  state.answers_ms.add(answer_ms, now, smoothing);
-  state.service_time.add(answer_ms, now);
+  const Duration smoothing_time_constant = state.smoothingTimeConstant(settings_, now);
+  state.work_responses.add(1, now, kWorkChangeTimeConstant);
+  state.responses.add(1, now, smoothing_time_constant);
+  state.response_sum_ms.add(response_ms, now, smoothing_time_constant);
+  state.service_time.add(response_ms, now);
 }
 
 ServiceLoad ServiceLoadEstimator::load(ServiceId service) const {
-  const auto found = states_.find(service);
-  if (found == states_.end()) {
+  const auto entry = states_.find(service);
+  if (entry == states_.end()) {
     return {};
   }
-  const State& state = found->second;
+  const State& state = entry->second;
   const MonotonicTime now = time_source_.monotonicTime();
-  const double smoothing_s = std::chrono::duration<double>(settings_.smoothing).count();
-  const double age_s = std::chrono::duration<double>(now - state.since).count();
+  const double smoothing_time_constant_s =
+      std::chrono::duration<double>(settings_.smoothing_time_constant).count();
+  const double age_s = std::chrono::duration<double>(now - state.created_at).count();
   // A balancer that has just started has seen a part of the smoothing time only.
-  const double seen_s = smoothing_s * (1 - std::exp(-std::max(age_s, 0.1) / smoothing_s));
+  const double observed_s =
+      smoothing_time_constant_s * (1 - std::exp(-std::max(age_s, 0.1) / smoothing_time_constant_s));
   ServiceLoad load;
-  load.requests_per_second = state.requests.now(now, settings_.smoothing) / seen_s;
-  load.service_time = ofMilliseconds(state.service_time.valueMs(now));
-  if (state.answers.now(now, state.smoothing(settings_, now)) >= settings_.samples_needed) {
-    load.response_time = ofMilliseconds(state.responseMs());
+  load.requests_per_second =
+      state.requests.valueAt(now, settings_.smoothing_time_constant) / observed_s;
+  load.service_time = fromMilliseconds(state.service_time.valueMs(now));
+  if (state.responses.valueAt(now, state.smoothingTimeConstant(settings_, now)) >=
+      settings_.min_samples) {
+    load.response_time = fromMilliseconds(state.meanResponseMs());
   }
-  const Duration present = load.response_time.count() > 0 ? load.response_time : load.service_time;
-  load.in_flight = load.requests_per_second * std::chrono::duration<double>(present).count();
+  const Duration time_in_system =
+      load.response_time.count() > 0 ? load.response_time : load.service_time;
+  load.in_flight = load.requests_per_second * std::chrono::duration<double>(time_in_system).count();
   return load;
 }
 
--- a/src/load/service_load.h
+++ b/src/load/service_load.h
@@ -28,11 +28,11 @@
 struct ServiceLoadSettings {
   /** Time over which rates and response times are smoothed: some dozen answers of a weak balancer,
    * and a queue of a second's requests shows before callers' targets have passed. */
-  Duration smoothing = milliseconds(500);
+  Duration smoothing_time_constant = milliseconds(500);
   /** Time for which a short answer counts as evidence of the service time without a queue. */
-  Duration service_time_memory = seconds(30);
+  Duration service_time_window = seconds(30);
   /** Answers within the smoothing time that are needed before response times are believed. */
-  double samples_needed = 8;
+  double min_samples = 8;
 };
 
 /**
--- a/src/load/service_time.cc
+++ b/src/load/service_time.cc
@@ -8,78 +8,83 @@
 namespace {
 
 /** Stretches that the memory is divided into: one must lie between two bursts of callers. */
-constexpr int kStretches = 10;
+constexpr int kWindowsPerRetention = 10;
 /** Answers that a stretch needs: the mean of work that differs by half is right to a tenth then. */
-constexpr std::uint32_t kAnswersOfStretch = 32;
-constexpr double kBucketsOfOctave = 4;
-constexpr double kLowShare = 0.05;
+constexpr std::uint32_t kMinWindowResponses = 32;
+constexpr double kBucketsPerOctave = 4;
+constexpr double kLowQuantile = 0.05;
 /** Growth of the short answers from which work has changed: less comes from a standing queue. */
-constexpr double kChangedFrom = 2;
+constexpr double kMinWorkChangeRatio = 2;
 
 }  // namespace
 
-void ServiceTime::add(double answer_ms, MonotonicTime now) {
+void ServiceTime::add(double response_ms, MonotonicTime now) {
   if (count_ == 0) {
     opened_at_ = now;
   }
-  const double bucket = std::log2(std::max(answer_ms, 1.0)) * kBucketsOfOctave;
+  const double bucket = std::log2(std::max(response_ms, 1.0)) * kBucketsPerOctave;
   ++buckets_[std::min(static_cast<std::size_t>(bucket), kBuckets - 1)];
-  sum_ms_ += answer_ms;
+  sum_ms_ += response_ms;
   ++count_;
-  if (count_ >= kAnswersOfStretch && now - opened_at_ >= memory_ / kStretches) {
-    closeStretch(now);
+  if (count_ >= kMinWindowResponses && now - opened_at_ >= retention_ / kWindowsPerRetention) {
+    closeWindow(now);
   }
 }
 
 double ServiceTime::valueMs(MonotonicTime now) const {
   const double open_ms =
-      count_ >= kAnswersOfStretch ? openStretch(now).mean_ms : reference_.mean_ms;
+      count_ >= kMinWindowResponses ? summarizeOpenWindow(now).mean_ms : reference_.mean_ms;
   return reference_.mean_ms > 0 ? std::min(reference_.mean_ms, open_ms) : open_ms;
 }
 
-void ServiceTime::closeStretch(MonotonicTime now) {
-  const AnswerTimes closed = openStretch(now);
+void ServiceTime::closeWindow(MonotonicTime now) {
+  const ResponseTimeSummary closed = summarizeOpenWindow(now);
   sum_ms_ = 0;
   count_ = 0;
   buckets_ = {};
-  std::erase_if(stretches_, [&](const AnswerTimes& old) { return isForgotten(old, now); });
-  stretches_.push_back(closed);
+  std::erase_if(windows_,
+                [&](const ResponseTimeSummary& summary) { return isExpired(summary, now); });
+  windows_.push_back(closed);
   if (reference_.mean_ms <= 0 || closed.mean_ms <= reference_.mean_ms) {
     reference_ = closed;
     return;
   }
-  if (!isForgotten(reference_, now)) {
+  if (!isExpired(reference_, now)) {
     return;
   }
-  const AnswerTimes& lowest = *std::min_element(
-      stretches_.begin(), stretches_.end(),
-      [](const AnswerTimes& a, const AnswerTimes& b) { return a.mean_ms < b.mean_ms; });
-  const double growth = lowest.low_ms / reference_.low_ms;
-  if (growth >= kChangedFrom) {
-    reference_ = {std::min(reference_.mean_ms * growth, lowest.mean_ms), lowest.low_ms,
+  const ResponseTimeSummary& lowest =
+      *std::min_element(windows_.begin(), windows_.end(),
+                        [](const ResponseTimeSummary& a, const ResponseTimeSummary& b) {
+                          return a.mean_ms < b.mean_ms;
+                        });
+  const double growth = lowest.p5_ms / reference_.p5_ms;
+  if (growth >= kMinWorkChangeRatio) {
+    reference_ = {std::min(reference_.mean_ms * growth, lowest.mean_ms), lowest.p5_ms,
                   lowest.ended_at};
   }
 }
 
-bool ServiceTime::isForgotten(const AnswerTimes& stretch, MonotonicTime now) const {
+bool ServiceTime::isExpired(const ResponseTimeSummary& window, MonotonicTime now) const {
   // A stretch that began within the memory has ended up to its own length later.
-  return now - stretch.ended_at > memory_ + memory_ / kStretches;
+  return now - window.ended_at > retention_ + retention_ / kWindowsPerRetention;
 }
 
-AnswerTimes ServiceTime::openStretch(MonotonicTime now) const {
-  return {sum_ms_ / count_, lowMs(), now};
+ResponseTimeSummary ServiceTime::summarizeOpenWindow(MonotonicTime now) const {
+  return {sum_ms_ / count_, p5Ms(), now};
 }
 
-double ServiceTime::lowMs() const {
-  const double wanted = kLowShare * count_;
-  double passed = 0;
+double ServiceTime::p5Ms() const {
+  const double target_count = kLowQuantile * count_;
+  double cumulative_count = 0;
   std::size_t bucket = 0;
-  while (bucket + 1 < kBuckets && passed + buckets_[bucket] < wanted) {
-    passed += buckets_[bucket];
+  while (bucket + 1 < kBuckets && cumulative_count + buckets_[bucket] < target_count) {
+    cumulative_count += buckets_[bucket];
     ++bucket;
   }
-  const double part = buckets_[bucket] > 0 ? (wanted - passed) / buckets_[bucket] : 0;
-  return std::exp2((static_cast<double>(bucket) + std::min(part, 1.0)) / kBucketsOfOctave);
+  const double bucket_fraction =
+      buckets_[bucket] > 0 ? (target_count - cumulative_count) / buckets_[bucket] : 0;
+  return std::exp2((static_cast<double>(bucket) + std::min(bucket_fraction, 1.0)) /
+                   kBucketsPerOctave);
 }
 
 }  // namespace lugfork
--- a/src/load/service_time.h
+++ b/src/load/service_time.h
@@ -9,10 +9,10 @@
 namespace lugfork {
 
 /** Answers of one stretch of time in short: how long they took in the mean, and the short ones. */
-struct AnswerTimes {
+struct ResponseTimeSummary {
   double mean_ms = 0;
   /** Time that one answer in twenty falls short of. */
-  double low_ms = 0;
+  double p5_ms = 0;
   MonotonicTime ended_at;
 };
 
@@ -25,9 +25,9 @@
 class ServiceTime {
  public:
   /** @param memory time for which a stretch counts. */
-  explicit ServiceTime(Duration memory) : memory_(memory) {}
+  explicit ServiceTime(Duration retention) : retention_(retention) {}
 
-  void add(double answer_ms, MonotonicTime now);
+  void add(double response_ms, MonotonicTime now);
 
   /** @return the time [ms]; 0 where it is not known. */
   double valueMs(MonotonicTime now) const;
@@ -36,16 +36,16 @@
   /** A quarter of an octave each, from 1 ms to a minute: longer than any caller waits. */
   static constexpr std::size_t kBuckets = 64;
 
-  void closeStretch(MonotonicTime now);
-  AnswerTimes openStretch(MonotonicTime now) const;
-  double lowMs() const;
-  bool isForgotten(const AnswerTimes& stretch, MonotonicTime now) const;
+  void closeWindow(MonotonicTime now);
+  ResponseTimeSummary summarizeOpenWindow(MonotonicTime now) const;
+  double p5Ms() const;
+  bool isExpired(const ResponseTimeSummary& window, MonotonicTime now) const;
 
-  Duration memory_;
+  Duration retention_;
   /** Whole stretches that count, the oldest first. */
-  std::vector<AnswerTimes> stretches_;
+  std::vector<ResponseTimeSummary> windows_;
   /** The lowest stretch, with its mean as the service time. */
-  AnswerTimes reference_;
+  ResponseTimeSummary reference_;
   MonotonicTime opened_at_;
   double sum_ms_ = 0;
   std::uint32_t count_ = 0;
--- a/src/load/zone_demand.cc
+++ b/src/load/zone_demand.cc
@@ -8,27 +8,27 @@
 
 namespace {
 
-double inSeconds(Duration duration) {
+double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
 }  // namespace
 
-double ZoneBalancers::inOwnZone() const {
-  if (own_zone > 0) {
-    return static_cast<double>(own_zone);
+double ZoneBalancers::inLocalZone() const {
+  if (local_zone > 0) {
+    return static_cast<double>(local_zone);
   }
-  const std::size_t spread_over = std::max<std::size_t>(zones, 1);
-  return std::max(1.0, static_cast<double>(all) / static_cast<double>(spread_over));
+  const std::size_t zone_divisor = std::max<std::size_t>(zone_count, 1);
+  return std::max(1.0, static_cast<double>(total) / static_cast<double>(zone_divisor));
 }
 
-void ZoneDemand::Count::fade(double elapsed_s, Duration lifetime) {
-  const double kept = std::exp(-elapsed_s / inSeconds(lifetime));
-  requests *= kept;
-  seconds = seconds * kept + (1 - kept) * inSeconds(lifetime);
+void ZoneDemand::Count::decay(double elapsed_s, Duration time_constant) {
+  const double remaining = std::exp(-elapsed_s / toSeconds(time_constant));
+  requests *= remaining;
+  seconds = seconds * remaining + (1 - remaining) * toSeconds(time_constant);
 }
 
-void ZoneDemand::Count::weighAs(double count) {
+void ZoneDemand::Count::setWeight(double count) {
   if (requests > 0) {
     seconds *= count / requests;
     requests = count;
@@ -36,72 +36,73 @@
 }
 
 void ZoneDemand::onRequest(ServiceId service) {
-  const auto [found, is_new] = states_.try_emplace(service);
+  const auto [entry, is_new] = states_.try_emplace(service);
   if (is_new) {
     // The first request begins the time in which others are counted.
-    found->second.updated_at = time_source_.monotonicTime();
+    entry->second.updated_at = time_source_.monotonicTime();
     return;
   }
-  ++found->second.fresh;
+  ++entry->second.new_requests;
 }
 
 DemandEstimate ZoneDemand::update(ServiceId service, Duration service_time,
                                   const ZoneBalancers& balancers) {
-  const auto found = states_.find(service);
-  if (found == states_.end()) {
+  const auto entry = states_.find(service);
+  if (entry == states_.end()) {
     return {};
   }
-  State& state = found->second;
+  State& state = entry->second;
   const MonotonicTime now = time_source_.monotonicTime();
-  follow(state, inSeconds(now - state.updated_at));
+  updateRates(state, toSeconds(now - state.updated_at));
   state.updated_at = now;
-  const bool known =
-      state.smoothed.requests >= settings_.requests_needed && service_time > Duration();
-  const double slots = state.smoothed.rate() * inSeconds(service_time) * balancers.inOwnZone();
-  state.told = {known ? slots : 0, service_time};
-  return state.told;
+  const bool is_known =
+      state.smoothed.requests >= settings_.min_requests && service_time > Duration();
+  const double slots = state.smoothed.rate() * toSeconds(service_time) * balancers.inLocalZone();
+  state.estimate = {is_known ? slots : 0, service_time};
+  return state.estimate;
 }
 
-void ZoneDemand::follow(State& state, double elapsed_s) const {
+void ZoneDemand::updateRates(State& state, double elapsed_s) const {
   if (elapsed_s <= 0) {
     return;
   }
-  const Count fresh{state.fresh, elapsed_s};
-  state.fresh = 0;
-  state.recent.fade(elapsed_s, settings_.recent);
-  state.recent.requests += fresh.requests;
-  state.smoothed.fade(elapsed_s, settings_.longest_smoothing);
-  state.smoothed.requests += fresh.requests;
-  takeChange(state, fresh);
-  if (state.smoothed.requests > settings_.requests_smoothed) {
-    state.smoothed.weighAs(settings_.requests_smoothed);
+  const Count new_requests{state.new_requests, elapsed_s};
+  state.new_requests = 0;
+  state.recent.decay(elapsed_s, settings_.recent_time_constant);
+  state.recent.requests += new_requests.requests;
+  state.smoothed.decay(elapsed_s, settings_.max_smoothing_time_constant);
+  state.smoothed.requests += new_requests.requests;
+  adoptChange(state, new_requests);
+  if (state.smoothed.requests > settings_.max_smoothed_requests) {
+    state.smoothed.setWeight(settings_.max_smoothed_requests);
   }
 }
 
-void ZoneDemand::takeChange(State& state, const Count& fresh) const {
+void ZoneDemand::adoptChange(State& state, const Count& new_requests) const {
   const double expected = state.smoothed.rate() * state.recent.seconds;
   // A fading count spreads as one of half of its requests does.
-  const double error = std::sqrt(std::max(expected, state.recent.requests) / 2);
-  const double errors = (state.recent.requests - expected) / error;
-  if (error <= 0 || (errors <= settings_.rise_errors && errors >= -settings_.fall_errors)) {
+  const double standard_error = std::sqrt(std::max(expected, state.recent.requests) / 2);
+  const double standard_errors = (state.recent.requests - expected) / standard_error;
+  if (standard_error <= 0 || (standard_errors <= settings_.rise_threshold &&
+                              standard_errors >= -settings_.fall_threshold)) {
     return;
   }
-  const double weight = std::min(state.smoothed.requests, settings_.requests_needed);
+  const double weight = std::min(state.smoothed.requests, settings_.min_requests);
   state.smoothed = state.recent;
-  if (fresh.rate() > state.recent.rate()) {
+  if (new_requests.rate() > state.recent.rate()) {
     // In a rise the recent rate lags: what came since the last update counts twice.
-    state.smoothed.requests += fresh.requests;
-    state.smoothed.seconds += fresh.seconds;
+    state.smoothed.requests += new_requests.requests;
+    state.smoothed.seconds += new_requests.seconds;
   }
   // What was known stays so, but weighs little against what comes next.
   if (state.smoothed.requests < weight) {
-    state.smoothed.weighAs(weight);
+    state.smoothed.setWeight(weight);
   }
 }
 
 DemandEstimate ZoneDemand::demand(ServiceId service) const {
-  const auto found = states_.find(service);
-  return found == states_.end() ? DemandEstimate() : found->second.told;
+  const auto entry = states_.find(service);
+  return entry == states_.end() ? DemandEstimate() : entry->second.estimate;
 }
 
 void ZoneDemand::retain(const ConfigurationView& configuration) {
--- a/src/load/zone_demand.h
+++ b/src/load/zone_demand.h
@@ -13,22 +13,22 @@
 struct ZoneDemandSettings {
   /** Time over which the last requests are watched for a change: callers' targets have not passed
    * after it, and a weak balancer sees half a dozen requests. */
-  Duration recent = milliseconds(500);
+  Duration recent_time_constant = milliseconds(500);
   /** Requests after which a demand is told: it may err by half then, yet callers of a zone with
    * half of the slots that they need must not wait until more is known. */
-  double requests_needed = 5;
+  double min_requests = 5;
   /** Requests over which it is smoothed: it then errs by a twentieth, less than two steps of the
    * callers' share, so that copies of an opening mostly find the same server. */
-  double requests_smoothed = 400;
+  double max_smoothed_requests = 400;
   /** Longest time over which it is smoothed: callers of a quiet service come and go meanwhile. */
-  Duration longest_smoothing = seconds(10);
+  Duration max_smoothing_time_constant = seconds(10);
   /** Standard errors from which the recent requests show more callers rather than chance: one of
    * 4,000 moments errs, for each sends callers beyond for seconds; three times the callers show in
    * half a second to a dozen requests a second. */
-  double rise_errors = 3.5;
+  double rise_threshold = 3.5;
   /** The same for fewer callers: an error brings callers back by a step or two, and only for a
    * second. */
-  double fall_errors = 2.5;
+  double fall_threshold = 2.5;
 };
 
 /** What the callers of the own zone ask of a service. */
@@ -42,13 +42,13 @@
 /** Balancers that the callers of the own zone are spread over. */
 struct ZoneBalancers {
   /** Those of the own zone; 0 where it is not told which they are. */
-  std::size_t own_zone = 0;
+  std::size_t local_zone = 0;
   /** All that are known, this one included, and the zones they are spread over. */
-  std::size_t all = 1;
-  std::size_t zones = 1;
+  std::size_t total = 1;
+  std::size_t zone_count = 1;
 
   /** @return those of the own zone; where not told, an even part of all. */
-  double inOwnZone() const;
+  double inLocalZone() const;
 };
 
 /**
@@ -85,23 +85,23 @@
     double requests = 0;
     double seconds = 0;
     double rate() const { return seconds > 0 ? requests / seconds : 0; }
-    void fade(double elapsed_s, Duration lifetime);
+    void decay(double elapsed_s, Duration time_constant);
     /** Keeps the rate, and lets it weigh as so many requests. */
-    void weighAs(double count);
+    void setWeight(double count);
   };
 
   struct State {
     Count smoothed;
     Count recent;
     /** Requests since the last update. */
-    double fresh = 0;
+    double new_requests = 0;
     MonotonicTime updated_at;
-    DemandEstimate told;
+    DemandEstimate estimate;
   };
 
-  void follow(State& state, double elapsed_s) const;
+  void updateRates(State& state, double elapsed_s) const;
   /** Takes the recent rate where it differs from the smoothed one by more than chance. */
-  void takeChange(State& state, const Count& fresh) const;
+  void adoptChange(State& state, const Count& new_requests) const;
 
   const ZoneDemandSettings settings_;
   const TimeSource& time_source_;
--- a/tests/load/zone_demand_test.cc
+++ b/tests/load/zone_demand_test.cc
@@ -120,10 +120,10 @@
 
 TEST_CASE("where it is not told which balancers are of the own zone, they are an even part",
           "[load]") {
-  CHECK(ZoneBalancers{25, 76, 3}.inOwnZone() == 25);
-  CHECK(ZoneBalancers{0, 76, 4}.inOwnZone() == 19);
-  CHECK(ZoneBalancers{0, 1, 3}.inOwnZone() == 1);
-  CHECK(ZoneBalancers{0, 0, 0}.inOwnZone() == 1);
+  CHECK(ZoneBalancers{25, 76, 3}.inLocalZone() == 25);
+  CHECK(ZoneBalancers{0, 76, 4}.inLocalZone() == 19);
+  CHECK(ZoneBalancers{0, 1, 3}.inLocalZone() == 1);
+  CHECK(ZoneBalancers{0, 0, 0}.inLocalZone() == 1);
 }
 
 TEST_CASE("services that are not known any more are forgotten", "[load]") {
