--- a/src/balancer/control_work_meter.cc
+++ b/src/balancer/control_work_meter.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /** Processor time from which a slice is logged: packets have to wait for so long, or longer. */
-constexpr Duration kLongSlice = milliseconds(5);
+constexpr Duration kMinLoggedSlice = milliseconds(5);
 
 }  // namespace
 
@@ -21,17 +21,17 @@
   return "unknown";
 }
 
-void ControlWorkMeter::note(ControlWork kind, std::uint64_t units, Duration processor) {
+void ControlWorkMeter::record(ControlWork kind, std::uint64_t units, Duration cpu_time) {
   ControlWorkCost& cost = costs_[static_cast<std::size_t>(kind)];
   ++cost.slices;
   cost.units += units;
-  cost.processor += processor;
-  cost.longest = std::max(cost.longest, processor);
-  if (processor >= kLongSlice) {
+  cost.cpu_time += cpu_time;
+  cost.max_slice = std::max(cost.max_slice, cpu_time);
+  if (cpu_time >= kMinLoggedSlice) {
     log_.write(LogLevel::Info, "node", "control_work_long",
                {{"kind", toString(kind)},
                 {"units", units},
-                {"processor_us", static_cast<std::int64_t>(processor.count())}});
+                {"processor_us", static_cast<std::int64_t>(cpu_time.count())}});
   }
 }
 
--- a/src/balancer/control_work_meter.h
+++ b/src/balancer/control_work_meter.h
@@ -27,8 +27,8 @@
   /** Items, or back ends and routes. */
   std::uint64_t units = 0;
   /** Processor time of all slices, and of the longest. */
-  Duration processor{};
-  Duration longest{};
+  Duration cpu_time{};
+  Duration max_slice{};
 };
 
 /**
@@ -45,9 +45,9 @@
   /** Does one slice of work. @param work returns the units that it consisted of. */
   template <typename Work>
   void measure(ControlWork kind, Work work) {
-    const Duration before = used();
+    const Duration before = cpuTimeUsed();
     const std::uint64_t units = work();
-    note(kind, units, used() - before);
+    record(kind, units, cpuTimeUsed() - before);
   }
 
   const ControlWorkCost& cost(ControlWork kind) const {
@@ -55,9 +55,9 @@
   }
 
  private:
-  Duration used() const { return clock_ == nullptr ? Duration::zero() : clock_->used(); }
+  Duration cpuTimeUsed() const { return clock_ == nullptr ? Duration::zero() : clock_->used(); }
   /** Adds one slice to the costs, and logs a long one. */
-  void note(ControlWork kind, std::uint64_t units, Duration processor);
+  void record(ControlWork kind, std::uint64_t units, Duration cpu_time);
 
   EventLog& log_;
   const ProcessorClock* clock_ = nullptr;
--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -8,28 +8,28 @@
 namespace {
 
 /** Up to this many members every report goes to every node. */
-constexpr std::size_t kSmallFleet = 32;
+constexpr std::size_t kMaxSmallFleetSize = 32;
 /** Most bytes of load in one message. */
 constexpr std::size_t kMaxLoadBytes = 1000;
 /** Bytes of changes of state that any gossip may carry, also on an overdrawn budget. */
 constexpr std::size_t kStateBytes = 4 * LoadSpread::kObservationBytes;
 /** Most bytes of rumours about members in one message, and what it has on an overdrawn budget. */
-constexpr std::size_t kMaxRumourBytes = 400;
-constexpr std::size_t kMinRumourBytes = 100;
+constexpr std::size_t kMaxMemberUpdateBytes = 400;
+constexpr std::size_t kMinMemberUpdateBytes = 100;
 /** Encoded size of a gossip header without its lists. */
 constexpr std::size_t kHeaderBytes = 80;
 /** Encoded size of a member record, names included. */
 constexpr std::size_t kMemberBytes = 48;
 /** Members pinged at once when the view needs a confirmation. */
-constexpr std::size_t kConfirmingPeers = 3;
+constexpr std::size_t kConfirmationPeerCount = 3;
 constexpr Duration kConfirmationInterval = milliseconds(500);
 /** Shortest time between two computations of the probe assignment. */
 constexpr Duration kAssignmentInterval = seconds(1);
 /** Anti-entropy of the states of back ends: for a node that joined or missed the gossip. */
-constexpr Duration kObservationsInterval = seconds(60);
+constexpr Duration kObservationsRequestInterval = seconds(60);
 constexpr std::uint32_t kMaxObservations = 1000;
 /** Shortest time between two reads of the platform that tokens prompt. */
-constexpr Duration kPromptedReadInterval = seconds(10);
+constexpr Duration kTokenPromptedReadInterval = seconds(10);
 /** A read of the platform without an answer for this long is given up. */
 constexpr Duration kPlatformReadTimeout = seconds(10);
 
@@ -79,26 +79,26 @@
 void Node::onPlatformConfiguration(const std::string& json_text) {
   join_.onPlatformConfiguration();
   if (store_.inForce() != nullptr) {
-    takePlatformDocument(json_text);
+    adoptPlatformDocument(json_text);
     return;
   }
   // A replica of the platform may be stale: peers that know better are heard first.
   const auto parsed = parseConfigurationDocument(json_text);
-  first_document_ = json_text;
-  first_document_version_ = parsed ? parsed.value().version : ConfigVersion();
-  takeFirstDocument();
+  initial_document_ = json_text;
+  initial_document_version_ = parsed ? parsed.value().version : ConfigVersion();
+  adoptInitialDocument();
 }
 
-void Node::takeFirstDocument() {
-  const bool peers_may_know_better =
-      store_.inForce() == nullptr && !join_.mayTakeFromPlatform(first_document_version_);
-  if (first_document_.empty() || peers_may_know_better) {
+void Node::adoptInitialDocument() {
+  const bool peers_may_have_newer =
+      store_.inForce() == nullptr && !join_.mayTakeFromPlatform(initial_document_version_);
+  if (initial_document_.empty() || peers_may_have_newer) {
     return;
   }
-  takePlatformDocument(std::exchange(first_document_, std::string()));
+  adoptPlatformDocument(std::exchange(initial_document_, std::string()));
 }
 
-void Node::takePlatformDocument(const std::string& json_text) {
+void Node::adoptPlatformDocument(const std::string& json_text) {
   configuration_.onPlatformDocument(json_text);
   const MonotonicTime requested_at = platform_requested_at_;
   platform_requested_at_ = MonotonicTime();
@@ -127,17 +127,17 @@
   if (lease_.onTick()) {
     log_.write(LogLevel::Warn, "node", "pause_detected", {});
     membership_.onPause();
-    next_confirmation_ = MonotonicTime();
+    next_confirmation_at_ = MonotonicTime();
     platform_requested_at_ = MonotonicTime();
     configuration_.readPlatformSoon();
   }
   membership_.onTick();
   configuration_.onTick(membership_.liveCount() + 1);
-  takeFirstDocument();
+  adoptInitialDocument();
   join_.onTick();
   confirmView(now);
-  pushNews();
-  spreadLoad(now);
+  pushUpdates();
+  gossipLoad(now);
   requestObservations(now);
   probe(now);
 }
@@ -146,7 +146,7 @@
   leaving_ = true;
   membership_.startLeaving();
   push_pending_ = true;
-  pushNews();
+  pushUpdates();
   log_.write(LogLevel::Info, "node", "leaving", {});
 }
 
@@ -176,8 +176,8 @@
   }
   // Anybody can send a token with an unknown key: the platform is not read for each of them.
   const MonotonicTime now = time_source_.monotonicTime();
-  if (now >= next_prompted_read_) {
-    next_prompted_read_ = now + kPromptedReadInterval;
+  if (now >= next_token_prompted_read_at_) {
+    next_token_prompted_read_at_ = now + kTokenPromptedReadInterval;
     configuration_.readPlatformSoon();
   }
 }
@@ -216,9 +216,9 @@
 
 void Node::readConfigurationFromPlatform() {
   const MonotonicTime now = time_source_.monotonicTime();
-  const bool waiting = platform_requested_at_ != MonotonicTime() &&
-                       now - platform_requested_at_ < kPlatformReadTimeout;
-  if (!waiting) {
+  const bool is_read_pending = platform_requested_at_ != MonotonicTime() &&
+                               now - platform_requested_at_ < kPlatformReadTimeout;
+  if (!is_read_pending) {
     platform_requested_at_ = now;
   }
   outputs_.readPlatformConfiguration();
@@ -229,7 +229,7 @@
   router_.setConfiguration(store_.inForce());
   join_.onConfiguration(store_.version());
   push_pending_ = true;
-  pushNews();
+  pushUpdates();
 }
 
 void Node::handle(Endpoint from, const Ping& ping) {
@@ -325,12 +325,13 @@
   gossip.configuration = store_.id();
   // Changes of state always have room, then rumours about members, then load.
   gossip.observations = load_spread_.take(ObservationScope::StateChanges, kStateBytes, audience());
-  const std::size_t rumour_room = std::min(kMaxRumourBytes, roomAfter(gossip));
-  gossip.members = membership_.takeRumours(about, std::max(kMinRumourBytes, rumour_room));
+  const std::size_t member_update_budget = std::min(kMaxMemberUpdateBytes, remainingBudget(gossip));
+  gossip.members =
+      membership_.takeRumours(about, std::max(kMinMemberUpdateBytes, member_update_budget));
   if (scope == ObservationScope::All) {
-    const std::size_t load_room = std::min(kMaxLoadBytes, roomAfter(gossip));
+    const std::size_t load_budget = std::min(kMaxLoadBytes, remainingBudget(gossip));
     for (const BackendObservation& observation :
-         load_spread_.take(ObservationScope::Load, load_room, audience())) {
+         load_spread_.take(ObservationScope::Load, load_budget, audience())) {
       gossip.observations.push_back(observation);
     }
   }
@@ -338,7 +339,7 @@
   return gossip;
 }
 
-std::size_t Node::roomAfter(const GossipHeader& gossip) {
+std::size_t Node::remainingBudget(const GossipHeader& gossip) {
   const std::size_t used = estimatedBytes(gossip);
   const std::size_t available = budget_.available();
   return available > used ? available - used : 0;
@@ -350,20 +351,20 @@
 }
 
 bool Node::isSmallFleet() const {
-  return membership_.liveCount() <= kSmallFleet;
+  return membership_.liveCount() <= kMaxSmallFleetSize;
 }
 
 void Node::confirmView(MonotonicTime now) {
-  if (!lease_.needsConfirmation() || now < next_confirmation_) {
+  if (!lease_.needsConfirmation() || now < next_confirmation_at_) {
     return;
   }
-  next_confirmation_ = now + kConfirmationInterval;
-  membership_.pingSome(kConfirmingPeers);
+  next_confirmation_at_ = now + kConfirmationInterval;
+  membership_.pingSome(kConfirmationPeerCount);
 }
 
-void Node::pushNews() {
-  const bool urgent = push_pending_ || load_spread_.hasUrgent();
-  if (!urgent || budget_.isExhausted()) {
+void Node::pushUpdates() {
+  const bool has_urgent_updates = push_pending_ || load_spread_.hasUrgent();
+  if (!has_urgent_updates || budget_.isExhausted()) {
     return;
   }
   push_pending_ = false;
@@ -374,11 +375,11 @@
   }
 }
 
-void Node::spreadLoad(MonotonicTime now) {
-  if (now < next_gossip_) {
+void Node::gossipLoad(MonotonicTime now) {
+  if (now < next_gossip_at_) {
     return;
   }
-  next_gossip_ = now + settings_.gossip_interval;
+  next_gossip_at_ = now + settings_.gossip_interval;
   const std::string zone = isSmallFleet() ? std::string() : settings_.zone;
   const std::vector<MemberRecord> peers = membership_.randomLive(1, zone);
   if (peers.empty() || load_spread_.size() == 0) {
@@ -394,12 +395,12 @@
 }
 
 void Node::requestObservations(MonotonicTime now) {
-  if (now < next_observations_) {
+  if (now < next_observations_at_) {
     return;
   }
   const std::vector<MemberRecord> peers = membership_.randomLive(1);
   if (!peers.empty()) {
-    next_observations_ = now + kObservationsInterval;
+    next_observations_at_ = now + kObservationsRequestInterval;
     outputs_.sendPeerMessage(peers.front().peer_address, ObservationsRequest{kMaxObservations});
   }
 }
@@ -419,10 +420,10 @@
 void Node::updateAssignment(MonotonicTime now) {
   const bool changed = assigned_generation_ != membership_.liveGeneration() + 1 ||
                        assigned_configuration_ != store_.id();
-  if (!changed || now < next_assignment_) {
+  if (!changed || now < next_assignment_at_) {
     return;
   }
-  next_assignment_ = now + kAssignmentInterval;
+  next_assignment_at_ = now + kAssignmentInterval;
   assigned_generation_ = membership_.liveGeneration() + 1;
   assigned_configuration_ = store_.id();
   std::vector<MemberRecord> live;
--- a/src/balancer/node.h
+++ b/src/balancer/node.h
@@ -143,17 +143,17 @@
   void onObservation(const BackendObservation& observation);
   GossipHeader makeGossip(const MemberRecord* about, ObservationScope scope);
   /** @return bytes that the budget leaves for more in a message. */
-  std::size_t roomAfter(const GossipHeader& gossip);
+  std::size_t remainingBudget(const GossipHeader& gossip);
   ObservationAudience audience() const;
   bool isSmallFleet() const;
 
   void confirmView(MonotonicTime now);
 
   /** Takes the platform's first document once no peer can be expected to know a newer one. */
-  void takeFirstDocument();
-  void takePlatformDocument(const std::string& json_text);
-  void pushNews();
-  void spreadLoad(MonotonicTime now);
+  void adoptInitialDocument();
+  void adoptPlatformDocument(const std::string& json_text);
+  void pushUpdates();
+  void gossipLoad(MonotonicTime now);
   void requestObservations(MonotonicTime now);
   void probe(MonotonicTime now);
   void updateAssignment(MonotonicTime now);
@@ -171,16 +171,16 @@
   ViewLease lease_;
   JoinController join_;
   /** The platform's document, until it is clear that no peer knows a newer one. */
-  std::string first_document_;
-  ConfigVersion first_document_version_;
-  MonotonicTime next_prompted_read_;
+  std::string initial_document_;
+  ConfigVersion initial_document_version_;
+  MonotonicTime next_token_prompted_read_at_;
   ProbeSchedule probes_;
   LoadSpread load_spread_;
   ControlBudget budget_;
-  MonotonicTime next_gossip_;
-  MonotonicTime next_confirmation_;
-  MonotonicTime next_observations_;
-  MonotonicTime next_assignment_;
+  MonotonicTime next_gossip_at_;
+  MonotonicTime next_confirmation_at_;
+  MonotonicTime next_observations_at_;
+  MonotonicTime next_assignment_at_;
   /** Earliest read of the platform without an answer; unset if none is under way. */
   MonotonicTime platform_requested_at_;
   std::uint64_t assigned_generation_ = 0;
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -14,17 +14,17 @@
  * line takes some 10 us of processor time: of 300 to 700 at once packets waited 135 to 197 ms on a
  * node with 0.027 of a core.
  */
-constexpr std::size_t kMostChangesInLines = 20;
+constexpr std::size_t kMaxChangesLoggedSingly = 20;
 /** Changes in one answer that every node tells as lists: ten lines. */
-constexpr std::size_t kMostChangesInLists = 400;
+constexpr std::size_t kMaxChangesLoggedAsLists = 400;
 /** Causes told apart of records that can't be used: all that one version of the program has. */
-constexpr std::size_t kMostCauses = 64;
+constexpr std::size_t kMaxInvalidRecordCauses = 64;
 constexpr Duration kComparisonInterval = milliseconds(500);
 /** Time between two moves of the limits on new flows: a small part of callers' targets. */
-constexpr Duration kLoadInterval = milliseconds(100);
+constexpr Duration kLoadUpdateInterval = milliseconds(100);
 /** Requests present for each slot from which a server may be silent because it is full: a second
  * waits behind each one then, and some servers have longer queues than others. */
-constexpr double kPressedFrom = 2;
+constexpr double kMinPressureRequestsPerSlot = 2;
 
 PlacementSettings placementSettingsOf(const PacketNodeSettings& settings) {
   PlacementSettings placement = settings.placement;
@@ -55,11 +55,11 @@
       scheduler_(scheduler),
       log_(log),
       work_(log),
-      registry_(settings_.retired_for, time_source, log),
+      registry_(settings_.retired_ttl, time_source, log),
       loads_(settings_.load, time_source),
       placement_(placementSettingsOf(settings_), makePlacementPolicy(settings_.placement_policy),
                  loads_, time_source, random),
-      cold_limit_(settings_.cold_servers, time_source),
+      cold_limit_(settings_.cold_backends, time_source),
       decider_(settings_.decider, time_source, placement_, *this),
       observer_(settings_.observer, time_source),
       silence_(settings_.silence, time_source, log),
@@ -84,12 +84,12 @@
     const Backend* known = configuration == nullptr ? nullptr : configuration->backend(backend);
     return known == nullptr ? ServiceId() : known->service;
   });
-  if (settings_.uses.pass_over_suspects) {
+  if (settings_.uses.exclude_suspects) {
     const BackendSuspicion& own = silence_;
     const BackendSuspicion& shared = evidence_;
     placement_.setSuspicion(settings_.uses.share_evidence ? &shared : &own);
   }
-  if (settings_.uses.weigh_by_speed) {
+  if (settings_.uses.weight_by_speed) {
     placement_.setSpeed(&response_times_);
   }
   if (settings_.uses.count_in_flight) {
@@ -154,7 +154,7 @@
 
 bool PacketNode::isUnderPressure(ServiceId service) const {
   return load_control_.level(service) > 0 ||
-         load_control_.load(service).requestsPerBusySlot() >= kPressedFrom;
+         load_control_.load(service).requestsPerBusySlot() >= kMinPressureRequestsPerSlot;
 }
 
 void PacketNode::onRequest(BackendId backend) {
@@ -182,7 +182,7 @@
 
 void PacketNode::onItems(const std::vector<ItemChange>& changes) {
   work_.measure(ControlWork::Items, [&] {
-    const bool is_batch = changes.size() > kMostChangesInLines;
+    const bool is_batch = changes.size() > kMaxChangesLoggedSingly;
     if (is_batch) {
       registry_.beginBatch();
     }
@@ -190,18 +190,18 @@
       onChange(change);
     }
     if (is_batch) {
-      registry_.endBatch(batchLogOf(changes.size()));
+      registry_.endBatch(batchLogFor(changes.size()));
     }
     return static_cast<std::uint64_t>(changes.size());
   });
-  applySoon();
+  scheduleApply();
 }
 
-BackendRegistry::BatchLog PacketNode::batchLogOf(std::size_t changes) const {
-  const bool is_crowd = changes > kMostChangesInLists;
-  const bool is_told_by_others = reads_platform_ && !reads_platform_();
-  return is_crowd && is_told_by_others ? BackendRegistry::BatchLog::Digest
-                                       : BackendRegistry::BatchLog::Lists;
+BackendRegistry::BatchLog PacketNode::batchLogFor(std::size_t changes) const {
+  const bool is_large_batch = changes > kMaxChangesLoggedAsLists;
+  const bool is_relayed = reads_platform_ && !reads_platform_();
+  return is_large_batch && is_relayed ? BackendRegistry::BatchLog::Digest
+                                      : BackendRegistry::BatchLog::Lists;
 }
 
 void PacketNode::onComplete(ViewOrigin origin) {
@@ -257,11 +257,11 @@
   }
   auto decoded = decoder_.decode(item.key, item.value);
   if (!decoded) {
-    onUnreadable(item, decoded.error());
+    onInvalidRecord(item, decoded.error());
     return;
   }
-  if (const auto* server = std::get_if<ServerRecord>(&decoded.value())) {
-    registry_.onServer(item.key, *server, item.revision, item.created);
+  if (const auto* record = std::get_if<ServerRecord>(&decoded.value())) {
+    registry_.onServer(item.key, *record, item.revision, item.created);
   } else if (auto* table = std::get_if<RouteTable>(&decoded.value())) {
     registry_.onRoutes(std::move(*table), item.revision);
   } else if (const auto* zone = std::get_if<ZoneOutOfService>(&decoded.value())) {
@@ -269,11 +269,11 @@
   }
 }
 
-void PacketNode::onUnreadable(const Item& item, const RecordProblem& problem) {
+void PacketNode::onInvalidRecord(const Item& item, const RecordProblem& problem) {
   const auto known = counters_.records_invalid.find(problem.text);
-  const bool has_room = counters_.records_invalid.size() < kMostCauses;
-  const bool is_counted_apart = known != counters_.records_invalid.end() || has_room;
-  ++counters_.records_invalid[is_counted_apart ? problem.text : "other"];
+  const bool has_room = counters_.records_invalid.size() < kMaxInvalidRecordCauses;
+  const bool has_own_counter = known != counters_.records_invalid.end() || has_room;
+  ++counters_.records_invalid[has_own_counter ? problem.text : "other"];
   log_.write(LogLevel::Error, "discovery", "record_invalid",
              {{"key", item.key}, {"revision", item.revision}, {"problem", problem.text}});
   registry_.onServerUnreadable(item.key, item.revision);
@@ -301,12 +301,12 @@
     if (!backendsAreSettled()) {
       scheduleRetirement();
     } else if (registry_.retireMissing()) {
-      applySoon();
+      scheduleApply();
     }
   });
 }
 
-void PacketNode::applySoon() {
+void PacketNode::scheduleApply() {
   if (apply_pending_) {
     return;
   }
@@ -328,7 +328,7 @@
 std::uint64_t PacketNode::updateConfiguration() {
   const std::uint64_t routes_before = registry_.counters().routes_made;
   const ConfigurationChanges changes = registry_.updateConfiguration();
-  forgetEarlierRuns(changes.restarted);
+  clearPreviousIncarnations(changes.restarted);
   // Before placement takes new servers in: it asks whether their zones can be reached.
   if (settings_.uses.share_evidence) {
     evidence_.onConfigurationChanged(changes, *registry_.configuration());
@@ -340,13 +340,13 @@
     decider_.onConfigurationChanged(changes);
   }
   if (!changes.removed.empty()) {
-    forgetRemoved();
+    pruneRemovedBackends();
   }
   return changes.backends.size() + changes.removed.size() + registry_.counters().routes_made -
          routes_before;
 }
 
-void PacketNode::forgetEarlierRuns(const std::vector<BackendId>& restarted) {
+void PacketNode::clearPreviousIncarnations(const std::vector<BackendId>& restarted) {
   for (const BackendId backend : restarted) {
     silence_.forget(backend);
     response_times_.forget(backend);
@@ -354,7 +354,7 @@
   }
 }
 
-void PacketNode::forgetRemoved() {
+void PacketNode::pruneRemovedBackends() {
   const ConfigurationView& configuration = *registry_.configuration();
   silence_.retain(configuration);
   response_times_.retain(configuration);
@@ -373,7 +373,7 @@
 }
 
 void PacketNode::scheduleLoadUpdate() {
-  scheduler_.callAfter(kLoadInterval, [this] {
+  scheduler_.callAfter(kLoadUpdateInterval, [this] {
     if (decider_.configuration() != nullptr) {
       updateLoad();
     }
@@ -389,16 +389,16 @@
   if (!settings_.uses.overflow_by_demand) {
     return;
   }
-  const ZoneBalancers spread{0, balancers, configuration.document().zones.size()};
+  const ZoneBalancers zone_balancers{0, balancers, configuration.document().zones.size()};
   for (const Service& service : configuration.document().services) {
-    zone_demand_.update(service.id, load_control_.load(service.id).service_time, spread);
+    zone_demand_.update(service.id, load_control_.load(service.id).service_time, zone_balancers);
   }
 }
 
 void PacketNode::scheduleCleanup() {
   scheduler_.callAfter(kCleanupInterval, [this] {
     if (registry_.forgetRetired()) {
-      applySoon();
+      scheduleApply();
     }
     scheduleCleanup();
   });
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -19,11 +19,11 @@
 /** What a balancer makes of what it observes in packets; each can be switched off to measure it. */
 struct ObservationUses {
   /** Back ends that do not seem to answer get no new flows. */
-  bool pass_over_suspects = true;
+  bool exclude_suspects = true;
   /** Open flows of back ends that are surely dead are reset. */
   bool reset_dead = true;
   /** Back ends that answer slowly get fewer new flows. */
-  bool weigh_by_speed = true;
+  bool weight_by_speed = true;
   /** Load is estimated by requests in flight. */
   bool count_in_flight = true;
   /** What other balancers of the zone have seen of silent servers counts too. */
@@ -40,7 +40,7 @@
   std::string placement_policy = "bounded_rendezvous";
   FlowObserverSettings observer;
   /** Time for which a server that is gone from the platform stays reachable for open flows. */
-  Duration retired_for = seconds(90);
+  Duration retired_ttl = seconds(90);
   /** Time for which changes of back ends are collected before they come into force. */
   Duration apply_delay = milliseconds(5);
   FlowDeciderSettings decider;
@@ -54,7 +54,7 @@
   LoadEstimateSettings load;
   LoadControlSettings load_control;
   ZoneDemandSettings zone_demand;
-  ColdServerLimitSettings cold_servers;
+  ColdServerLimitSettings cold_backends;
   ViewFollowerSettings follower;
 };
 
@@ -149,7 +149,7 @@
   void onBehind();
 
   /** @return number of servers that look silent by what this node itself has seen. */
-  std::size_t suspectsBySelf() const { return silence_.observations().size(); }
+  std::size_t locallySuspectedCount() const { return silence_.observations().size(); }
 
   const PacketCounters& packetCounters() const { return router_.counters(); }
   const PacketNodeCounters& counters() const { return counters_; }
@@ -194,20 +194,20 @@
   void logFirstView(ViewOrigin origin);
   void onChange(const ItemChange& change);
   /** @return how a batch of so many changes is logged. */
-  BackendRegistry::BatchLog batchLogOf(std::size_t changes) const;
-  void onUnreadable(const Item& item, const RecordProblem& problem);
+  BackendRegistry::BatchLog batchLogFor(std::size_t changes) const;
+  void onInvalidRecord(const Item& item, const RecordProblem& problem);
   void onDeletion(const Item& item);
 
   /** Takes servers that are still missing for gone once the platform has been back for long enough.
    */
   void scheduleRetirement();
-  void applySoon();
+  void scheduleApply();
   void apply();
   /** @return number of back ends and routes that have changed. */
   std::uint64_t updateConfiguration();
-  void forgetRemoved();
+  void pruneRemovedBackends();
   /** Forgets what was seen of back ends before they started again. */
-  void forgetEarlierRuns(const std::vector<BackendId>& restarted);
+  void clearPreviousIncarnations(const std::vector<BackendId>& restarted);
   void scheduleCleanup();
   void scheduleComparison();
   void scheduleLoadUpdate();
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -212,9 +212,9 @@
                     "Items read, or back ends and routes brought up to date.", cost.units, labels);
     page.addCounter("lugfork_control_work_processor_microseconds_total",
                     "Processor time of control work.",
-                    static_cast<std::uint64_t>(cost.processor.count()), labels);
+                    static_cast<std::uint64_t>(cost.cpu_time.count()), labels);
     page.addGauge("lugfork_control_work_longest_seconds", "Processor time of the longest slice.",
-                  std::chrono::duration<double>(cost.longest).count(), labels);
+                  std::chrono::duration<double>(cost.max_slice).count(), labels);
   }
 }
 
@@ -233,8 +233,8 @@
   add_messages("digest_received", counters.digests_received);
   add_messages("digest_of_other_zone", counters.digests_of_other_zones);
   const char* suspects = "Servers that look silent, by who has seen it.";
-  page.addGauge("lugfork_suspect_servers", suspects, static_cast<double>(node.suspectsBySelf()),
-                {{"seen_by", "self"}});
+  page.addGauge("lugfork_suspect_servers", suspects,
+                static_cast<double>(node.locallySuspectedCount()), {{"seen_by", "self"}});
   page.addGauge("lugfork_suspect_servers", suspects,
                 static_cast<double>(node.sharedEvidence().suspectsByOthers()),
                 {{"seen_by", "others"}});
--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -38,8 +38,8 @@
   CHECK(log.events == std::vector<std::string>{"control_work_long"});
   CHECK(meter.cost(ControlWork::Items).slices == 2);
   CHECK(meter.cost(ControlWork::Items).units == 8);
-  CHECK(meter.cost(ControlWork::Items).processor == milliseconds(5));
-  CHECK(meter.cost(ControlWork::Items).longest == milliseconds(4));
+  CHECK(meter.cost(ControlWork::Items).cpu_time == milliseconds(5));
+  CHECK(meter.cost(ControlWork::Items).max_slice == milliseconds(4));
   CHECK(meter.cost(ControlWork::Configuration).slices == 1);
 }
 
@@ -48,7 +48,7 @@
   ControlWorkMeter meter(log);
   meter.measure(ControlWork::Items, [] { return std::uint64_t{7}; });
   CHECK(meter.cost(ControlWork::Items).units == 7);
-  CHECK(meter.cost(ControlWork::Items).processor == Duration::zero());
+  CHECK(meter.cost(ControlWork::Items).cpu_time == Duration::zero());
 }
 
 }  // namespace
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -258,18 +258,18 @@
   harness.node.onPacket(copy);
   copy.acknowledged = 1;
   harness.node.onPacket(copy);
-  CHECK(harness.node.suspectsBySelf() == 1);
+  CHECK(harness.node.locallySuspectedCount() == 1);
   SECTION("the later run is not suspected") {
     harness.source.answerWatch(kPrefix,
                                ItemChanges{{written("backends/a", 12, "server started 2000")}, 12});
     harness.scheduler.advance(milliseconds(20));
-    CHECK(harness.node.suspectsBySelf() == 0);
+    CHECK(harness.node.locallySuspectedCount() == 0);
   }
   SECTION("another beat of the same run changes nothing") {
     harness.source.answerWatch(kPrefix,
                                ItemChanges{{written("backends/a", 12, "server started 1000")}, 12});
     harness.scheduler.advance(milliseconds(20));
-    CHECK(harness.node.suspectsBySelf() == 1);
+    CHECK(harness.node.locallySuspectedCount() == 1);
   }
 }
 
@@ -295,7 +295,7 @@
 
 TEST_CASE("suspects get new flows where they are not to be passed over", "[packet_node]") {
   PacketNodeSettings settings;
-  settings.uses.pass_over_suspects = GENERATE(true, false);
+  settings.uses.exclude_suspects = GENERATE(true, false);
   settings.uses.count_in_flight = false;
   PacketNodeHarness harness(settings);
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
@@ -312,7 +312,7 @@
     harness.node.onPacket(packet);
   }
   const auto to_silent = std::count(harness.forwarded.begin(), harness.forwarded.end(), silent);
-  CHECK((to_silent == 0) == settings.uses.pass_over_suspects);
+  CHECK((to_silent == 0) == settings.uses.exclude_suspects);
 }
 
 TEST_CASE("servers that others found silent get no new flows where evidence is shared",
