--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -8,8 +8,8 @@
 namespace {
 
 struct ManualProcessorClock : ProcessorClock {
-  Duration used() const override { return used_so_far; }
-  Duration used_so_far{};
+  Duration used() const override { return cpu_time_used; }
+  Duration cpu_time_used{};
 };
 
 struct RecordingLog : EventLog {
@@ -27,7 +27,7 @@
   meter.setClock(clock);
   const auto work = [&](ControlWork kind, Duration duration, std::uint64_t units) {
     meter.measure(kind, [&] {
-      clock.used_so_far += duration;
+      clock.cpu_time_used += duration;
       return units;
     });
   };
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -10,10 +10,10 @@
 namespace {
 
 const std::string kPrefix = "platform/";
-constexpr std::uint32_t kServers = 3000;
+constexpr std::uint32_t kBackendCount = 3000;
 constexpr std::uint32_t kRoutes = 1700;
 
-Item serverItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
+Item backendItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
   ServerRecord record;
   record.server_id = number + 1;
   record.service = number % 5 == 0 ? "ingest" : "listen";
@@ -55,8 +55,8 @@
   LargeNode() {
     node.start();
     ItemPage page{{routesItem(1)}, false, 10};
-    for (std::uint32_t number = 0; number < kServers; ++number) {
-      page.items.push_back(serverItem(number, 2));
+    for (std::uint32_t number = 0; number < kBackendCount; ++number) {
+      page.items.push_back(backendItem(number, 2));
     }
     source.answerPage(kPrefix, std::move(page));
     source.answerWatch(kPrefix, ItemChanges{{}, 10});
@@ -104,62 +104,62 @@
 
 TEST_CASE("one server's change makes one back end and no route, however many there are",
           "[control_work]") {
-  LargeNode large;
-  large.open(1);
-  const BackendRegistryCounters before = large.node.registryCounters();
-  const std::uint64_t candidates_before = large.node.candidatesMade();
-  large.change({{serverItem(77, 11, ServerState::Draining), false}});
-  large.open(2);
-  CHECK(large.node.registryCounters().backends_made == before.backends_made + 1);
-  CHECK(large.node.registryCounters().routes_made == before.routes_made);
-  CHECK(large.node.registryCounters().services_made == before.services_made);
-  CHECK(large.node.candidatesMade() <= candidates_before + 1);
+  LargeNode harness;
+  harness.open(1);
+  const BackendRegistryCounters before = harness.node.registryCounters();
+  const std::uint64_t candidates_before = harness.node.candidatesMade();
+  harness.change({{backendItem(77, 11, ServerState::Draining), false}});
+  harness.open(2);
+  CHECK(harness.node.registryCounters().backends_made == before.backends_made + 1);
+  CHECK(harness.node.registryCounters().routes_made == before.routes_made);
+  CHECK(harness.node.registryCounters().services_made == before.services_made);
+  CHECK(harness.node.candidatesMade() <= candidates_before + 1);
 }
 
 TEST_CASE("many changes at once are told as lists, a few with a line each", "[control_work]") {
-  LargeNode large;
-  constexpr std::uint32_t kFew = 3;
+  LargeNode harness;
+  constexpr std::uint32_t kSmallBatch = 3;
   std::vector<ItemChange> changes;
-  for (std::uint32_t number = 0; number < kFew; ++number) {
-    changes.push_back({serverItem(number, 11, ServerState::Draining), false});
+  for (std::uint32_t number = 0; number < kSmallBatch; ++number) {
+    changes.push_back({backendItem(number, 11, ServerState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_state") == kFew);
-  CHECK(large.log.lines("backend_states") == 0);
-  constexpr std::uint32_t kMany = 600;
-  for (std::uint32_t number = kFew; number < kMany; ++number) {
-    changes.push_back({serverItem(number, 12, ServerState::Draining), false});
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_state") == kSmallBatch);
+  CHECK(harness.log.lines("backend_states") == 0);
+  constexpr std::uint32_t kLargeBatch = 600;
+  for (std::uint32_t number = kSmallBatch; number < kLargeBatch; ++number) {
+    changes.push_back({backendItem(number, 12, ServerState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_state") == kFew);
-  CHECK(large.log.lines("backend_states") == (kMany - kFew + 39) / 40);
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_state") == kSmallBatch);
+  CHECK(harness.log.lines("backend_states") == (kLargeBatch - kSmallBatch + 39) / 40);
 }
 
 TEST_CASE("a crowd of changes is one line where another balancer tells them", "[control_work]") {
-  LargeNode large;
+  LargeNode harness;
   const bool reads_platform = GENERATE(true, false);
-  large.node.setReadsPlatform([reads_platform] { return reads_platform; });
+  harness.node.setReadsPlatform([reads_platform] { return reads_platform; });
   std::vector<ItemChange> changes;
   for (std::uint32_t number = 0; number < 600; ++number) {
-    changes.push_back({serverItem(number, 12, ServerState::Draining), false});
+    changes.push_back({backendItem(number, 12, ServerState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_states") == (reads_platform ? 15 : 0));
-  CHECK(large.log.lines("backends_changed") == (reads_platform ? 0 : 1));
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_states") == (reads_platform ? 15 : 0));
+  CHECK(harness.log.lines("backends_changed") == (reads_platform ? 0 : 1));
 }
 
 TEST_CASE("new routes make no back end", "[control_work]") {
-  LargeNode large;
-  const BackendRegistryCounters before = large.node.registryCounters();
-  large.change({{routesItem(11), false}});
-  CHECK(large.node.registryCounters().routes_made == before.routes_made + kRoutes);
-  CHECK(large.node.registryCounters().backends_made == before.backends_made);
+  LargeNode harness;
+  const BackendRegistryCounters before = harness.node.registryCounters();
+  harness.change({{routesItem(11), false}});
+  CHECK(harness.node.registryCounters().routes_made == before.routes_made + kRoutes);
+  CHECK(harness.node.registryCounters().backends_made == before.backends_made);
 }
 
 TEST_CASE("a first view makes each back end once", "[control_work]") {
-  const LargeNode large;
-  CHECK(large.node.registryCounters().backends_made == kServers);
-  CHECK(large.node.registryCounters().routes_made == kRoutes);
+  const LargeNode harness;
+  CHECK(harness.node.registryCounters().backends_made == kBackendCount);
+  CHECK(harness.node.registryCounters().routes_made == kRoutes);
 }
 
 }  // namespace
--- a/tests/balancer/node_test.cc
+++ b/tests/balancer/node_test.cc
@@ -47,11 +47,11 @@
 
   Placement placement;
   placement.key = FlowKey{{1, 2}, 0};
-  TokenKey unknown;
-  unknown.id = KeyId(999);
+  TokenKey unknown_key;
+  unknown_key.id = KeyId(999);
   const Bytes datagram = encodeDatagram(AnswerAck{configuration.services[0].address, placement.key,
-                                                  sealToken(placement, unknown), 0});
-  for (int sent = 0; sent < 200; ++sent) {
+                                                  sealToken(placement, unknown_key), 0});
+  for (int sent_count = 0; sent_count < 200; ++sent_count) {
     node.onDatagram(datagram, kStranger);
     time.elapsed += milliseconds(20);
     node.onTick();
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const std::string kPrefix = "platform/";
-const std::string kStarted = "server started ";
+const std::string kStartedPrefix = "server started ";
 
 /**
  * Reads items whose value is "route", "server", "server started N", "draining", "zone lac out of
@@ -23,10 +23,10 @@
     if (value == "route") {
       return PlatformRecord(RouteTable{7, {{kListen, {{"listen", 1}}}}});
     }
-    const bool has_start = value.starts_with(kStarted);
-    if (value == "server" || value == "draining" || has_start) {
+    const bool has_start_time = value.starts_with(kStartedPrefix);
+    if (value == "server" || value == "draining" || has_start_time) {
       ServerRecord record;
-      record.started_ms = has_start ? std::stoull(value.substr(kStarted.size())) : 0;
+      record.started_ms = has_start_time ? std::stoull(value.substr(kStartedPrefix.size())) : 0;
       record.server_id = static_cast<unsigned char>(key.back());
       record.name = key;
       record.service = "listen";
@@ -251,13 +251,13 @@
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server started 1000"),
                 item("backends/b", 4, "draining")});
-  FlowPacket copy;
-  copy.caller = {kCaller.address, 5000};
-  copy.service = kListen;
-  copy.opens = true;
-  harness.node.onPacket(copy);
-  copy.acknowledged = 1;
-  harness.node.onPacket(copy);
+  FlowPacket packet;
+  packet.caller = {kCaller.address, 5000};
+  packet.service = kListen;
+  packet.opens = true;
+  harness.node.onPacket(packet);
+  packet.acknowledged = 1;
+  harness.node.onPacket(packet);
   CHECK(harness.node.locallySuspectedCount() == 1);
   SECTION("the later run is not suspected") {
     harness.source.answerWatch(kPrefix,
@@ -301,7 +301,7 @@
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server"), item("backends/c", 5, "server")});
   harness.open(5000);
-  const std::string silent = harness.forwarded.back();
+  const std::string silent_backend = harness.forwarded.back();
   harness.scheduler.advance(milliseconds(300));
   harness.forwarded.clear();
   for (std::uint16_t port = 1; port <= 60; ++port) {
@@ -311,8 +311,9 @@
     packet.opens = true;
     harness.node.onPacket(packet);
   }
-  const auto to_silent = std::count(harness.forwarded.begin(), harness.forwarded.end(), silent);
-  CHECK((to_silent == 0) == settings.uses.exclude_suspects);
+  const auto flows_to_silent =
+      std::count(harness.forwarded.begin(), harness.forwarded.end(), silent_backend);
+  CHECK((flows_to_silent == 0) == settings.uses.exclude_suspects);
 }
 
 TEST_CASE("servers that others found silent get no new flows where evidence is shared",
@@ -323,14 +324,14 @@
   PacketNodeHarness harness(settings);
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server"), item("backends/c", 5, "server")});
-  const ServerSilence silent{backendIdOfServer('a'), 1, 0, 50, kNeverMilliseconds};
-  harness.node.sharedEvidence().onDigest({"lac", 0, {{2, silent}}, {}});
+  const ServerSilence silent_backend{backendIdOfServer('a'), 1, 0, 50, kNeverMilliseconds};
+  harness.node.sharedEvidence().onDigest({"lac", 0, {{2, silent_backend}}, {}});
   for (std::uint16_t port = 1; port <= 60; ++port) {
     harness.open(port);
   }
-  const auto to_silent =
+  const auto flows_to_silent =
       std::count(harness.forwarded.begin(), harness.forwarded.end(), "backends/a");
-  CHECK((to_silent == 0) == settings.uses.share_evidence);
+  CHECK((flows_to_silent == 0) == settings.uses.share_evidence);
 }
 
 TEST_CASE("a leaving node is not ready and still serves", "[packet_node]") {
--- a/tests/load/admission_comparison_test.cc
+++ b/tests/load/admission_comparison_test.cc
@@ -9,8 +9,9 @@
 
 void print(const char* name, const std::string& mode, const ReplayOutcome& outcome) {
   std::printf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.2f | %.2f to %.2f |\n", name, mode.c_str(),
-              outcome.urgent.share(), outcome.other.share(), outcome.credit(), outcome.turnedAway(),
-              outcome.requestsPerSlot(), outcome.lowest_level, outcome.highest_level);
+              outcome.urgent.inTimeFraction(), outcome.other.inTimeFraction(),
+              outcome.weightedInTimeFraction(), outcome.backendRejectionFraction(),
+              outcome.requestsPerSlot(), outcome.min_level, outcome.max_level);
 }
 
 }  // namespace
--- a/tests/load/admission_controller_test.cc
+++ b/tests/load/admission_controller_test.cc
@@ -14,8 +14,8 @@
 const RequestClass kOther{3, milliseconds(150), {}};
 
 /** Pressure that the test sets. */
-struct SetPressure : PressurePolicy {
-  explicit SetPressure(const double& source) : value(source) {}
+struct ManualPressurePolicy : PressurePolicy {
+  explicit ManualPressurePolicy(const double& source) : value(source) {}
   double pressure(const PressureInput&) const override { return value; }
   const double& value;
 };
@@ -24,14 +24,14 @@
 struct ControllerHarness {
   /** Lets a tenth of a second pass, with that many flows of each class and the time of an answer.
    */
-  void tenth(int urgent, int others, Duration answer = milliseconds(20)) {
+  void advanceTenthSecond(int urgent, int others, Duration response_time = milliseconds(20)) {
     rejected_urgent = rejected_others = 0;
     for (int i = 0; i < urgent + others; ++i) {
       const bool is_urgent = i < urgent;
       const FlowId flow{random->next(), 1};
       if (controller.admits(*view->service(ServiceId(1)), is_urgent ? kUrgent : kOther, flow)) {
         loads.onRequest(ServiceId(1));
-        loads.onResponse(ServiceId(1), answer);
+        loads.onResponse(ServiceId(1), response_time);
       } else {
         ++(is_urgent ? rejected_urgent : rejected_others);
       }
@@ -48,7 +48,7 @@
   ConfigurationViewPtr view = std::make_shared<const ConfigurationView>(replayConfiguration(2));
   ServiceLoadEstimator loads{ServiceLoadSettings(), clock};
   AdmissionController controller{AdmissionSettings(), loads,
-                                 std::make_unique<SetPressure>(pressure), clock};
+                                 std::make_unique<ManualPressurePolicy>(pressure), clock};
   int rejected_urgent = 0;
   int rejected_others = 0;
 };
@@ -59,13 +59,13 @@
   ControllerHarness harness;
   harness.pressure = 5;
   for (int i = 0; i < 100; ++i) {
-    harness.tenth(15, 15);
+    harness.advanceTenthSecond(15, 15);
     CHECK(harness.rejected_urgent == 0);
   }
   CHECK(harness.level() == Approx(1));
   int rejected = 0;
   for (int i = 0; i < 100; ++i) {
-    harness.tenth(30, 0);
+    harness.advanceTenthSecond(30, 0);
     rejected += i >= 50 ? harness.rejected_urgent : 0;
   }
   // 300 a second ask for 200 a second of slots.
@@ -81,7 +81,7 @@
       harness.loads.onRequest(ServiceId(1));
       harness.loads.onResponse(ServiceId(1), milliseconds(80));
     }
-    harness.tenth(8, 4, milliseconds(80));
+    harness.advanceTenthSecond(8, 4, milliseconds(80));
     CHECK(harness.rejected_urgent == 0);
   }
   CHECK(harness.level() == Approx(1));
@@ -103,13 +103,13 @@
   ControllerHarness harness;
   harness.pressure = 3;
   for (int i = 0; i < 50; ++i) {
-    harness.tenth(20, 20);
+    harness.advanceTenthSecond(20, 20);
   }
   REQUIRE(harness.level() > 0.5);
   const bool flows_stop = GENERATE(true, false);
   harness.pressure = flows_stop ? 3 : 0;
   for (int i = 0; i < 20; ++i) {
-    harness.tenth(flows_stop ? 0 : 20, flows_stop ? 0 : 20);
+    harness.advanceTenthSecond(flows_stop ? 0 : 20, flows_stop ? 0 : 20);
   }
   CHECK(harness.level() == 0);
 }
@@ -119,8 +119,8 @@
   ControllerHarness second;
   first.pressure = second.pressure = 1.3;
   for (int i = 0; i < 10; ++i) {
-    first.tenth(10, 30);
-    second.tenth(10, 30);
+    first.advanceTenthSecond(10, 30);
+    second.advanceTenthSecond(10, 30);
   }
   REQUIRE(first.level() == second.level());
   REQUIRE(first.level() > 0);
@@ -137,7 +137,7 @@
 
 TEST_CASE("Nothing is rejected where slots, service time or service are unknown") {
   const bool has_slots = GENERATE(true, false);
-  const bool has_answers = GENERATE(true, false);
+  const bool has_responses = GENERATE(true, false);
   for (const char* mode : {"response_time", "share"}) {
     LoadClock clock;
     NullEventLog log;
@@ -151,9 +151,9 @@
         const FlowId id{static_cast<std::uint64_t>(i), static_cast<std::uint64_t>(flow)};
         const RequestClass any{std::numeric_limits<std::uint32_t>::max(), {}, {}};
         const bool admitted = control.admits(*view.service(ServiceId(1)), any, id);
-        CHECK((admitted || (has_slots && has_answers)));
+        CHECK((admitted || (has_slots && has_responses)));
         control.onRequest(ServiceId(1));
-        if (has_answers) {
+        if (has_responses) {
           control.onResponse(ServiceId(1), milliseconds(i < 25 ? 0 : 400));
         }
       }
@@ -176,20 +176,20 @@
   input.usable_slots = 10;
   input.balancer_count = 2;
   input.load = {100, milliseconds(20), milliseconds(44), 20};
-  const auto by_time = makePressurePolicy("response_time", settings);
-  const auto by_share = makePressurePolicy("share", settings);
+  const auto response_time_policy = makePressurePolicy("response_time", settings);
+  const auto utilization_policy = makePressurePolicy("share", settings);
   CHECK(makePressurePolicy("off", settings) == nullptr);
-  CHECK(by_time->pressure(input) == Approx(1));
-  CHECK(by_share->pressure(input) == Approx(0.4 / 0.95));
+  CHECK(response_time_policy->pressure(input) == Approx(1));
+  CHECK(utilization_policy->pressure(input) == Approx(0.4 / 0.95));
   input.min_target = milliseconds(28);
-  CHECK(by_time->pressure(input) == Approx(2.2 / 1.7));
+  CHECK(response_time_policy->pressure(input) == Approx(2.2 / 1.7));
   input.load.in_flight = 2;
-  CHECK(by_time->pressure(input) == Approx(0.4));
+  CHECK(response_time_policy->pressure(input) == Approx(0.4));
   input.load.requests_per_second = 8;
-  CHECK(by_share->pressure(input) == 0);
+  CHECK(utilization_policy->pressure(input) == 0);
   input.load = {};
-  CHECK(by_time->pressure(input) == 0);
-  CHECK(by_share->pressure(input) == 0);
+  CHECK(response_time_policy->pressure(input) == 0);
+  CHECK(utilization_policy->pressure(input) == 0);
 }
 
 }  // namespace lugfork
--- a/tests/load/admission_replay.h
+++ b/tests/load/admission_replay.h
@@ -11,11 +11,11 @@
 /** Callers of two classes who come back, balancers that admit, and servers with queues. */
 namespace lugfork {
 
-inline Configuration replayConfiguration(std::uint32_t servers, std::uint32_t slots = 2) {
+inline Configuration replayConfiguration(std::uint32_t backend_count, std::uint32_t slots = 2) {
   Configuration configuration;
   configuration.zones = {{ZoneId(1), "a", ""}};
   configuration.services = {{ServiceId(1), "feed", Endpoint{1, 443}, {ZoneId(1)}}};
-  for (std::uint32_t id = 1; id <= servers; ++id) {
+  for (std::uint32_t id = 1; id <= backend_count; ++id) {
     Backend backend;
     backend.id = BackendId(id);
     backend.service = ServiceId(1);
@@ -29,64 +29,70 @@
 
 /** What became of the requests of one class. */
 struct ClassOutcome {
-  int asked = 0;
-  int in_time = 0;
-  double share() const { return asked == 0 ? 1 : static_cast<double>(in_time) / asked; }
+  int request_count = 0;
+  int in_time_count = 0;
+  double inTimeFraction() const {
+    return request_count == 0 ? 1 : static_cast<double>(in_time_count) / request_count;
+  }
 };
 
 struct ReplayOutcome {
   ClassOutcome urgent;
   ClassOutcome other;
-  int sent = 0;
-  int turned_away = 0;
-  int rejected = 0;
-  double lowest_level = 9;
-  double highest_level = 0;
-  double present = 0;
-  int samples = 0;
+  int sent_count = 0;
+  int backend_rejection_count = 0;
+  int rejection_count = 0;
+  double min_level = 9;
+  double max_level = 0;
+  double requests_per_slot_sum = 0;
+  int sample_count = 0;
 
   /** @return share of the worth of all requests that was served in time; urgent ones are worth 2.
    */
-  double credit() const {
-    return (2.0 * urgent.in_time + other.in_time) / std::max(2.0 * urgent.asked + other.asked, 1.0);
+  double weightedInTimeFraction() const {
+    return (2.0 * urgent.in_time_count + other.in_time_count) /
+           std::max(2.0 * urgent.request_count + other.request_count, 1.0);
+  }
+  double backendRejectionFraction() const {
+    return sent_count == 0 ? 0 : static_cast<double>(backend_rejection_count) / sent_count;
   }
-  double turnedAway() const { return sent == 0 ? 0 : static_cast<double>(turned_away) / sent; }
-  double requestsPerSlot() const { return present / samples; }
+  double requestsPerSlot() const { return requests_per_slot_sum / sample_count; }
 };
 
 struct ReplaySettings {
   std::string mode = "off";
-  std::vector<Duration> works = {milliseconds(15), milliseconds(20)};
+  std::vector<Duration> work_times = {milliseconds(15), milliseconds(20)};
   Duration target = milliseconds(150);
   std::uint32_t balancers = 20;
-  double urgent_share = 0.5;
+  double urgent_fraction = 0.5;
 };
 
 class AdmissionReplay {
  public:
-  static constexpr std::uint32_t kServers = 20;
+  static constexpr std::uint32_t kBackendCount = 20;
 
   explicit AdmissionReplay(const ReplaySettings& settings)
-      : settings_(settings), servers_(kServers) {
+      : settings_(settings), backends_(kBackendCount) {
     for (std::uint32_t i = 0; i < settings.balancers; ++i) {
-      balancers_.push_back(fresh());
+      balancers_.push_back(makeBalancer());
     }
   }
 
   /** @param share of the slots that the requests fill, retries not counted. */
-  ReplayOutcome run(Duration time, double share) {
+  ReplayOutcome run(Duration time, double load_ratio) {
     outcome_ = {};
     double mean_ms = 0;
-    for (const Duration work : settings_.works) {
-      mean_ms +=
-          static_cast<double>(work.count()) / 1000.0 / static_cast<double>(settings_.works.size());
+    for (const Duration work : settings_.work_times) {
+      mean_ms += static_cast<double>(work.count()) / 1000.0 /
+                 static_cast<double>(settings_.work_times.size());
     }
-    const double per_step = share * kServers * 2 / mean_ms;
-    const MonotonicTime until = clock.monotonicTime() + time;
-    while (clock.monotonicTime() < until) {
+    const double requests_per_step = load_ratio * kBackendCount * 2 / mean_ms;
+    const MonotonicTime end = clock.monotonicTime() + time;
+    while (clock.monotonicTime() < end) {
       clock.elapsed += milliseconds(1);
-      for (due_ += per_step * 2 * random_->unit(); due_ >= 1; due_ -= 1) {
-        ask();
+      for (due_requests_ += requests_per_step * 2 * random_->unit(); due_requests_ >= 1;
+           due_requests_ -= 1) {
+        startRequest();
       }
       handleEvents();
       if (clock.elapsed % milliseconds(100) == Duration(0)) {
@@ -97,7 +103,7 @@
   }
 
   /** Replaces a balancer by one that has just started. */
-  void restart(std::size_t index) { balancers_[index] = fresh(); }
+  void restart(std::size_t index) { balancers_[index] = makeBalancer(); }
   LoadControl& balancer(std::size_t index) { return *balancers_[index]; }
 
   LoadClock clock;
@@ -106,30 +112,30 @@
   struct Request {
     bool urgent = false;
     Duration work{};
-    MonotonicTime asked_at;
-    int tries = 0;
+    MonotonicTime started_at;
+    int retry_count = 0;
   };
   struct Event {
     MonotonicTime at;
-    enum { Retry, Answer, TurnedAway } kind = Retry;
+    enum { Retry, Response, BackendRejection } kind = Retry;
     Request request;
     std::size_t balancer = 0;
     MonotonicTime sent_at;
     bool operator>(const Event& other) const { return at > other.at; }
   };
 
-  std::unique_ptr<LoadControl> fresh() {
+  std::unique_ptr<LoadControl> makeBalancer() {
     LoadControlSettings settings;
     settings.mode = settings_.mode;
     return std::make_unique<LoadControl>(settings, clock, log_);
   }
 
-  void ask() {
+  void startRequest() {
     Request request;
-    request.urgent = random_->unit() < settings_.urgent_share;
-    request.work = settings_.works[random_->below(settings_.works.size())];
-    request.asked_at = clock.monotonicTime();
-    ++(request.urgent ? outcome_.urgent : outcome_.other).asked;
+    request.urgent = random_->unit() < settings_.urgent_fraction;
+    request.work = settings_.work_times[random_->below(settings_.work_times.size())];
+    request.started_at = clock.monotonicTime();
+    ++(request.urgent ? outcome_.urgent : outcome_.other).request_count;
     attempt(request);
   }
 
@@ -140,26 +146,27 @@
     const RequestClass request_class{request.urgent ? 0U : 1U, settings_.target, {}};
     const FlowId flow{random_->next(), random_->next()};
     if (!balancer.admits(*view_->service(ServiceId(1)), request_class, flow)) {
-      ++outcome_.rejected;
+      ++outcome_.rejection_count;
       retry(request);
       return;
     }
-    ++outcome_.sent;
+    ++outcome_.sent_count;
     balancer.onRequest(ServiceId(1));
-    SlotServer& first = servers_[random_->below(kServers)];
-    SlotServer& second = servers_[random_->below(kServers)];
-    SlotServer& server = first.present(now) <= second.present(now) ? first : second;
-    if (server.isFull(now)) {
-      ++outcome_.turned_away;
+    SimulatedBackend& first = backends_[random_->below(kBackendCount)];
+    SimulatedBackend& second = backends_[random_->below(kBackendCount)];
+    SimulatedBackend& backend =
+        first.requestCount(now) <= second.requestCount(now) ? first : second;
+    if (backend.isFull(now)) {
+      ++outcome_.backend_rejection_count;
       const Duration wait = milliseconds(20) + Duration(random_->below(25000));
-      events_.push({now + wait, Event::TurnedAway, request, index, now});
+      events_.push({now + wait, Event::BackendRejection, request, index, now});
     } else {
-      events_.push({server.serve(now, request.work), Event::Answer, request, index, now});
+      events_.push({backend.serve(now, request.work), Event::Response, request, index, now});
     }
   }
 
   void retry(Request request) {
-    if (++request.tries <= 2) {
+    if (++request.retry_count <= 2) {
       const Duration wait = milliseconds(20) + Duration(random_->below(30000));
       events_.push({clock.monotonicTime() + wait, Event::Retry, request, 0, {}});
     }
@@ -175,10 +182,10 @@
         continue;
       }
       balancers_[event.balancer]->onResponse(ServiceId(1), event.at - event.sent_at);
-      if (event.kind == Event::TurnedAway) {
+      if (event.kind == Event::BackendRejection) {
         retry(event.request);
-      } else if (event.at - event.request.asked_at <= settings_.target) {
-        ++(event.request.urgent ? outcome_.urgent : outcome_.other).in_time;
+      } else if (event.at - event.request.started_at <= settings_.target) {
+        ++(event.request.urgent ? outcome_.urgent : outcome_.other).in_time_count;
       }
     }
   }
@@ -189,23 +196,24 @@
       balancer->tick(*view_, balancers_.size());
       level += balancer->level(ServiceId(1)) / static_cast<double>(balancers_.size());
     }
-    outcome_.lowest_level = std::min(outcome_.lowest_level, level);
-    outcome_.highest_level = std::max(outcome_.highest_level, level);
-    for (SlotServer& server : servers_) {
-      outcome_.present += static_cast<double>(server.present(clock.monotonicTime())) / 2;
-      ++outcome_.samples;
+    outcome_.min_level = std::min(outcome_.min_level, level);
+    outcome_.max_level = std::max(outcome_.max_level, level);
+    for (SimulatedBackend& backend : backends_) {
+      outcome_.requests_per_slot_sum +=
+          static_cast<double>(backend.requestCount(clock.monotonicTime())) / 2;
+      ++outcome_.sample_count;
     }
   }
 
   const ReplaySettings settings_;
   ConfigurationViewPtr view_ =
-      std::make_shared<const ConfigurationView>(replayConfiguration(kServers));
+      std::make_shared<const ConfigurationView>(replayConfiguration(kBackendCount));
   std::unique_ptr<RandomGenerator> random_ = makeSeededRandom(11);
   NullEventLog log_;
-  std::vector<SlotServer> servers_;
+  std::vector<SimulatedBackend> backends_;
   std::vector<std::unique_ptr<LoadControl>> balancers_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  double due_ = 0;
+  double due_requests_ = 0;
   ReplayOutcome outcome_;
 };
 
--- a/tests/load/ingress_replay.h
+++ b/tests/load/ingress_replay.h
@@ -16,73 +16,75 @@
 namespace lugfork {
 
 /** How the node reads and serves. */
-enum class IngressWay {
+enum class IngressOrder {
   /** One datagram after the other, in the order of their arrival. */
-  InOrder,
+  ArrivalOrder,
   /** Open flows first, openings by OpeningBacklog. */
-  Chosen,
+  OpenFlowsFirst,
 };
 
 struct IngressLoad {
-  IngressWay way = IngressWay::Chosen;
+  IngressOrder order = IngressOrder::OpenFlowsFirst;
   /** Datagrams that the socket holds. */
-  std::size_t socket_holds = 350;
+  std::size_t socket_capacity = 350;
   /** Flows that callers begin a second. */
-  double openings = 200;
+  double openings_per_second = 200;
   /** Until then the node reads nothing, or only reads. */
-  Duration first_view{};
-  Duration span = seconds(10);
+  Duration first_view_delay{};
+  Duration duration = seconds(10);
   OpeningBacklogSettings backlog;
 };
 
 struct IngressResult {
   /** Flows whose last packet was forwarded within kAim of their beginning, later, and never. */
-  int in_time = 0;
-  int late = 0;
-  int never = 0;
+  int in_time_count = 0;
+  int late_count = 0;
+  int never_count = 0;
   /** Openings that were placed though a copy of their flow was, or their callers had gone. */
-  int in_vain = 0;
-  int lost = 0;
-  std::vector<Duration> waits;
+  int useless_placements = 0;
+  int lost_count = 0;
+  std::vector<Duration> open_flow_delays;
 
   /** @return what all but so many of a thousand packets of open flows waited. */
-  Duration waitOfOpenFlows(std::size_t permille) {
-    std::sort(waits.begin(), waits.end());
-    return waits.empty() ? Duration() : waits[(waits.size() - 1) * permille / 1000];
+  Duration openFlowDelay(std::size_t permille) {
+    std::sort(open_flow_delays.begin(), open_flow_delays.end());
+    return open_flow_delays.empty()
+               ? Duration()
+               : open_flow_delays[(open_flow_delays.size() - 1) * permille / 1000];
   }
 };
 
 class IngressReplay {
  public:
   /** Elapsed time on 0.038 of a core for 4 us to read, 30 us to forward and 60 us to place. */
-  static constexpr Duration kRead{105};
-  static constexpr Duration kForward{790};
-  static constexpr Duration kPlace{1580};
-  static constexpr std::size_t kBatch = 32;
+  static constexpr Duration kReadTime{105};
+  static constexpr Duration kForwardTime{790};
+  static constexpr Duration kPlaceTime{1580};
+  static constexpr std::size_t kBatchSize = 32;
   /** Packets that follow an opening, each so long after the one before was forwarded. */
-  static constexpr int kFollowing = 4;
-  static constexpr Duration kAnswer = milliseconds(20);
-  static constexpr Duration kResend = milliseconds(200);
-  static constexpr Duration kPatience = milliseconds(1400);
-  static constexpr Duration kAim = milliseconds(400);
+  static constexpr int kFollowingPackets = 4;
+  static constexpr Duration kResponseTime = milliseconds(20);
+  static constexpr Duration kRetransmissionTimeout = milliseconds(200);
+  static constexpr Duration kClientTimeout = milliseconds(1400);
+  static constexpr Duration kDeadline = milliseconds(400);
 
   explicit IngressReplay(IngressLoad load) : load_(load) {}
 
   IngressResult run() {
-    makeArrivals();
-    now_ += load_.first_view;
-    if (load_.way == IngressWay::Chosen) {
-      readEarly();
+    generateArrivals();
+    now_ += load_.first_view_delay;
+    if (load_.order == IngressOrder::OpenFlowsFirst) {
+      readBeforeFirstView();
     }
-    while (now_ < MonotonicTime() + load_.span) {
-      arrive();
+    while (now_ < MonotonicTime() + load_.duration) {
+      receiveArrivals();
       if (socket_.empty() && openings_.isEmpty()) {
-        now_ =
-            std::max(now_, arrivals_.empty() ? MonotonicTime() + load_.span : arrivals_.top().at);
-      } else if (load_.way == IngressWay::InOrder) {
-        serveInOrder();
+        now_ = std::max(now_,
+                        arrivals_.empty() ? MonotonicTime() + load_.duration : arrivals_.top().at);
+      } else if (load_.order == IngressOrder::ArrivalOrder) {
+        serveArrivalOrder();
       } else {
-        serveChosen();
+        serveOpenFlowsFirst();
       }
     }
     count();
@@ -100,89 +102,90 @@
   };
 
   struct Flow {
-    MonotonicTime begun;
+    MonotonicTime started_at;
     /** Packets forwarded, the opening included. */
-    int forwarded = 0;
+    int forwarded_count = 0;
     /** When each was forwarded. */
-    std::array<MonotonicTime, kFollowing + 1> at{};
+    std::array<MonotonicTime, kFollowingPackets + 1> at{};
   };
 
-  void makeArrivals() {
-    const std::array<Duration, 3> copies{Duration(), milliseconds(200), milliseconds(600)};
+  void generateArrivals() {
+    const std::array<Duration, 3> offsets{Duration(), milliseconds(200), milliseconds(600)};
     // Callers that began while the node was away send their copies now.
-    MonotonicTime at = MonotonicTime() - (load_.first_view > Duration() ? kPatience : Duration());
-    for (std::uint64_t flow = 1; at < MonotonicTime() + load_.span; ++flow) {
-      at += gap(load_.openings);
-      flows_[flow].begun = at;
-      for (std::uint32_t copy = 0; copy < copies.size(); ++copy) {
-        if (at + copies[copy] >= MonotonicTime()) {
-          arrivals_.push({at + copies[copy], flow, copy, 0});
+    MonotonicTime at =
+        MonotonicTime() - (load_.first_view_delay > Duration() ? kClientTimeout : Duration());
+    for (std::uint64_t flow = 1; at < MonotonicTime() + load_.duration; ++flow) {
+      at += interarrivalTime(load_.openings_per_second);
+      flows_[flow].started_at = at;
+      for (std::uint32_t transmission = 0; transmission < offsets.size(); ++transmission) {
+        if (at + offsets[transmission] >= MonotonicTime()) {
+          arrivals_.push({at + offsets[transmission], flow, transmission, 0});
         }
       }
     }
   }
 
-  Duration gap(double rate) {
+  Duration interarrivalTime(double rate) {
     return Duration(static_cast<std::int64_t>(2 * random_->unit() * 1e6 / rate));
   }
 
   /** Takes in what has come by now; what the caller need not send any more is not sent. */
-  void arrive() {
+  void receiveArrivals() {
     while (!arrivals_.empty() && arrivals_.top().at <= now_) {
       const Packet packet = arrivals_.top();
       arrivals_.pop();
       const Flow& flow = flows_[packet.flow];
-      if (flow.forwarded > packet.number && flow.at.at(packet.number) <= packet.at) {
+      if (flow.forwarded_count > packet.number && flow.at.at(packet.number) <= packet.at) {
         continue;
       }
       if (packet.number > 0) {
-        arrivals_.push({packet.at + kResend, packet.flow, 0, packet.number});
+        arrivals_.push({packet.at + kRetransmissionTimeout, packet.flow, 0, packet.number});
       }
-      if (socket_.size() >= load_.socket_holds) {
-        ++result_.lost;
+      if (socket_.size() >= load_.socket_capacity) {
+        ++result_.lost_count;
         continue;
       }
       socket_.push_back(packet);
     }
   }
 
-  void serveInOrder() {
+  void serveArrivalOrder() {
     const Packet packet = socket_.front();
     socket_.pop_front();
-    now_ += kRead;
+    now_ += kReadTime;
     packet.number > 0 ? forward(packet) : place(packet.flow);
   }
 
   /** The socket is read each 50 ms until the first view is there. */
-  void readEarly() {
+  void readBeforeFirstView() {
     const MonotonicTime view_at = now_;
     for (now_ = MonotonicTime(); now_ < view_at; now_ += milliseconds(50)) {
-      arrive();
+      receiveArrivals();
       while (!socket_.empty()) {
         const Packet packet = socket_.front();
         socket_.pop_front();
-        packet.number > 0 ? early_.push_back(packet) : add(packet);
+        packet.number > 0 ? early_packets_.push_back(packet) : add(packet);
       }
     }
-    now_ = view_at + kRead * static_cast<int>(early_.size() + openings_.size());
-    while (!early_.empty()) {
-      forward(early_.front());
-      early_.pop_front();
+    now_ = view_at + kReadTime * static_cast<int>(early_packets_.size() + openings_.size());
+    while (!early_packets_.empty()) {
+      forward(early_packets_.front());
+      early_packets_.pop_front();
     }
   }
 
-  void serveChosen() {
-    const std::size_t found = std::min(kBatch, socket_.size());
+  void serveOpenFlowsFirst() {
+    const std::size_t batch_size = std::min(kBatchSize, socket_.size());
     const MonotonicTime read_at = now_;
-    for (std::size_t index = 0; index < found; ++index) {
+    for (std::size_t index = 0; index < batch_size; ++index) {
       const Packet packet = socket_.front();
       socket_.pop_front();
-      now_ += kRead;
+      now_ += kReadTime;
       packet.number > 0 ? forward(packet) : add(packet);
     }
-    const bool is_empty = found < kBatch;
-    backlog_.onBatch({found, is_empty}, read_at);
-    for (std::size_t most = is_empty ? 16 : 2; most > 0; --most) {
+    const bool is_empty = batch_size < kBatchSize;
+    backlog_.onBatch({batch_size, is_empty}, read_at);
+    for (std::size_t max_openings = is_empty ? 16 : 2; max_openings > 0; --max_openings) {
       const auto opening = openings_.take(now_);
       if (!opening) {
         return;
@@ -200,16 +203,16 @@
   }
 
   void forward(const Packet& packet) {
-    now_ += kForward;
-    result_.waits.push_back(now_ - packet.at);
+    now_ += kForwardTime;
+    result_.open_flow_delays.push_back(now_ - packet.at);
     onForwarded(packet.flow, packet.number);
   }
 
   void place(std::uint64_t flow) {
-    now_ += kPlace;
-    const bool is_gone = now_ - flows_[flow].begun > kPatience;
-    if (is_gone || flows_[flow].forwarded > 0) {
-      ++result_.in_vain;
+    now_ += kPlaceTime;
+    const bool is_abandoned = now_ - flows_[flow].started_at > kClientTimeout;
+    if (is_abandoned || flows_[flow].forwarded_count > 0) {
+      ++result_.useless_placements;
       return;
     }
     onForwarded(flow, 0);
@@ -217,25 +220,26 @@
 
   void onForwarded(std::uint64_t number, int packet) {
     Flow& flow = flows_[number];
-    if (flow.forwarded != packet) {
+    if (flow.forwarded_count != packet) {
       return;
     }
     flow.at.at(packet) = now_;
-    ++flow.forwarded;
-    if (flow.forwarded <= kFollowing) {
-      arrivals_.push({now_ + kAnswer, number, 0, flow.forwarded});
+    ++flow.forwarded_count;
+    if (flow.forwarded_count <= kFollowingPackets) {
+      arrivals_.push({now_ + kResponseTime, number, 0, flow.forwarded_count});
     }
   }
 
   void count() {
     for (const auto& [number, flow] : flows_) {
-      if (flow.begun + kPatience > MonotonicTime() + load_.span) {
+      if (flow.started_at + kClientTimeout > MonotonicTime() + load_.duration) {
         break;
       }
-      if (flow.forwarded <= kFollowing) {
-        ++result_.never;
+      if (flow.forwarded_count <= kFollowingPackets) {
+        ++result_.never_count;
       } else {
-        ++(flow.at.back() - flow.begun <= kAim ? result_.in_time : result_.late);
+        ++(flow.at.back() - flow.started_at <= kDeadline ? result_.in_time_count
+                                                         : result_.late_count);
       }
     }
   }
@@ -247,7 +251,7 @@
   OpeningBacklog openings_{load_.backlog};
   std::priority_queue<Packet> arrivals_;
   std::deque<Packet> socket_;
-  std::deque<Packet> early_;
+  std::deque<Packet> early_packets_;
   std::map<std::uint64_t, Flow> flows_;
   IngressResult result_;
 };
--- a/tests/load/load_control_test.cc
+++ b/tests/load/load_control_test.cc
@@ -9,8 +9,8 @@
 namespace {
 
 /** Keeps the times and fields of admission_changed. */
-struct LevelLog : EventLog {
-  explicit LevelLog(const TimeSource& source) : clock(source) {}
+struct AdmissionLog : EventLog {
+  explicit AdmissionLog(const TimeSource& source) : clock(source) {}
   void write(LogLevel, std::string_view component, std::string_view event,
              std::initializer_list<LogField> fields) override {
     CHECK(component == "load");
@@ -36,21 +36,21 @@
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(40), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.other.share() > 0.35);
-  CHECK(outcome.credit() >= 0.72);
-  CHECK(outcome.turnedAway() < 0.02);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.other.inTimeFraction() > 0.35);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
+  CHECK(outcome.backendRejectionFraction() < 0.02);
   CHECK(outcome.requestsPerSlot() > 1.2);
   CHECK(outcome.requestsPerSlot() < 2.5);
-  CHECK(outcome.highest_level - outcome.lowest_level < 0.25);
+  CHECK(outcome.max_level - outcome.min_level < 0.25);
 }
 
 TEST_CASE("An overload that stands since the balancers' start is seen by requests in flight") {
   AdmissionReplay replay({"in_flight"});
   replay.run(seconds(10), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
 TEST_CASE("Answers told late don't count where others are told at once") {
@@ -83,8 +83,8 @@
   replay.run(seconds(20), 0.5);
   const ReplayOutcome outcome = replay.run(seconds(40), 0.78);
   CAPTURE(mode, work.count(), balancers);
-  CHECK(outcome.rejected <= 0.01 * outcome.sent);
-  CHECK(outcome.credit() > 0.98);
+  CHECK(outcome.rejection_count <= 0.01 * outcome.sent_count);
+  CHECK(outcome.weightedInTimeFraction() > 0.98);
 }
 
 TEST_CASE("Twice the slots are filled with urgent requests") {
@@ -92,8 +92,8 @@
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 2);
   const ReplayOutcome outcome = replay.run(seconds(40), 2);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.turnedAway() < 0.02);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.backendRejectionFraction() < 0.02);
 }
 
 TEST_CASE("Slow work is admitted by response times where a balancer sees enough of it") {
@@ -101,31 +101,31 @@
   replay.run(seconds(20), 0.5);
   replay.run(seconds(20), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(60), 1.29);
-  CHECK(outcome.urgent.share() > 0.8);
-  CHECK(outcome.turnedAway() < 0.05);
+  CHECK(outcome.urgent.inTimeFraction() > 0.8);
+  CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
 TEST_CASE("One class alone shares the slots") {
   ReplaySettings settings;
   settings.mode = GENERATE("in_flight", "response_time", "share");
-  settings.urgent_share = 0;
+  settings.urgent_fraction = 0;
   AdmissionReplay replay(settings);
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.other.share() > 0.68);
-  CHECK(outcome.turnedAway() < 0.05);
+  CHECK(outcome.other.inTimeFraction() > 0.68);
+  CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
 TEST_CASE("After a burst of six times all levels fall to zero within two seconds") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   const ReplayOutcome burst = replay.run(seconds(6), 3);
-  CHECK(burst.urgent.share() > 0.5);
+  CHECK(burst.urgent.inTimeFraction() > 0.5);
   replay.run(seconds(2), 0.5);
   const ReplayOutcome after = replay.run(seconds(5), 0.5);
-  CHECK(after.rejected == 0);
-  CHECK(after.credit() > 0.99);
+  CHECK(after.rejection_count == 0);
+  CHECK(after.weightedInTimeFraction() > 0.99);
 }
 
 TEST_CASE("Balancers that start amid an overload don't turn urgent requests away") {
@@ -136,8 +136,8 @@
     replay.restart(index);
   }
   const ReplayOutcome outcome = replay.run(seconds(10), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
 TEST_CASE("An overload of minutes stays admitted like one of seconds") {
@@ -145,14 +145,14 @@
   replay.run(seconds(5), 0.5);
   replay.run(seconds(240), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
   CHECK(outcome.requestsPerSlot() < 2.6);
 }
 
 TEST_CASE("Off admits all and counts by priority; modes are told by name") {
   AdmissionReplay replay({"off"});
-  CHECK(replay.run(seconds(5), 2).rejected == 0);
+  CHECK(replay.run(seconds(5), 2).rejection_count == 0);
   const auto counters = replay.balancer(0).counters(ServiceId(1));
   CHECK(counters[0].offered > 0);
   CHECK(counters[0].offered == counters[0].admitted);
@@ -165,14 +165,14 @@
 
 TEST_CASE("Changes of a level are logged at most once a second") {
   LoadClock clock;
-  LevelLog log(clock);
+  AdmissionLog log(clock);
   LoadControlSettings settings;
   settings.mode = "response_time";
   LoadControl control(settings, clock, log);
   const ConfigurationView view(replayConfiguration(1));
   std::uint64_t flows = 0;
-  for (int tenth = 0; tenth < 150; ++tenth) {
-    const bool is_overload = tenth >= 50 && tenth < 100;
+  for (int step = 0; step < 150; ++step) {
+    const bool is_overload = step >= 50 && step < 100;
     for (int i = 0; i < 30; ++i) {
       if (control.admits(*view.service(ServiceId(1)), {}, FlowId{++flows, 3})) {
         control.onRequest(ServiceId(1));
--- a/tests/load/load_fixture.h
+++ b/tests/load/load_fixture.h
@@ -18,37 +18,37 @@
 };
 
 /** Server with two slots and a queue of eight. */
-class SlotServer {
+class SimulatedBackend {
  public:
-  static constexpr std::size_t kPresent = 10;
+  static constexpr std::size_t kMaxRequests = 10;
 
   bool isFull(MonotonicTime now) {
-    leave(now);
-    return ends_.size() >= kPresent;
+    removeFinished(now);
+    return completion_times_.size() >= kMaxRequests;
   }
 
   /** @return when the request is answered. */
   MonotonicTime serve(MonotonicTime now, Duration work) {
-    auto& slot = *std::min_element(free_at_.begin(), free_at_.end());
+    auto& slot = *std::min_element(slots_free_at_.begin(), slots_free_at_.end());
     slot = std::max(slot, now) + work;
-    ends_.push(slot);
+    completion_times_.push(slot);
     return slot;
   }
 
-  std::size_t present(MonotonicTime now) {
-    leave(now);
-    return ends_.size();
+  std::size_t requestCount(MonotonicTime now) {
+    removeFinished(now);
+    return completion_times_.size();
   }
 
  private:
-  void leave(MonotonicTime now) {
-    while (!ends_.empty() && ends_.top() <= now) {
-      ends_.pop();
+  void removeFinished(MonotonicTime now) {
+    while (!completion_times_.empty() && completion_times_.top() <= now) {
+      completion_times_.pop();
     }
   }
 
-  std::array<MonotonicTime, 2> free_at_{};
-  std::priority_queue<MonotonicTime, std::vector<MonotonicTime>, std::greater<>> ends_;
+  std::array<MonotonicTime, 2> slots_free_at_{};
+  std::priority_queue<MonotonicTime, std::vector<MonotonicTime>, std::greater<>> completion_times_;
 };
 
 }  // namespace lugfork
--- a/tests/load/service_load_test.cc
+++ b/tests/load/service_load_test.cc
@@ -10,26 +10,27 @@
 
 const ServiceId kService{1};
 
-double ms(Duration duration) {
+double inMilliseconds(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
 /** Servers behind one balancer, to which requests come at random. */
 class EstimatorHarness {
  public:
-  static constexpr std::size_t kServers = 10;
+  static constexpr std::size_t kBackendCount = 10;
 
   /** @param share of the slots that requests fill, with work of half and of one and a half times.
    */
-  void run(Duration time, double share, Duration work) {
-    const MonotonicTime until = clock.monotonicTime() + time;
-    const double rate_ms = share * kServers * 2 / ms(work);
-    while (clock.monotonicTime() < until) {
+  void run(Duration time, double load_ratio, Duration work) {
+    const MonotonicTime end = clock.monotonicTime() + time;
+    const double requests_per_ms = load_ratio * kBackendCount * 2 / inMilliseconds(work);
+    while (clock.monotonicTime() < end) {
       clock.elapsed += milliseconds(1);
-      answer();
-      for (double due = rate_ms; due > 0; due -= 1) {
-        if (random->unit() < due) {
-          request(work / 2 + std::chrono::duration_cast<Duration>(work * random->unit()));
+      deliverResponses();
+      for (double expected_requests = requests_per_ms; expected_requests > 0;
+           expected_requests -= 1) {
+        if (random->unit() < expected_requests) {
+          startRequest(work / 2 + std::chrono::duration_cast<Duration>(work * random->unit()));
         }
       }
     }
@@ -42,32 +43,32 @@
   ServiceLoadEstimator estimator{ServiceLoadSettings(), clock};
 
  private:
-  struct Answer {
+  struct Response {
     MonotonicTime at;
     Duration duration{};
-    bool operator>(const Answer& other) const { return at > other.at; }
+    bool operator>(const Response& other) const { return at > other.at; }
   };
 
-  void request(Duration work) {
+  void startRequest(Duration work) {
     const MonotonicTime now = clock.monotonicTime();
     estimator.onRequest(kService);
-    SlotServer& server = servers_[random->below(kServers)];
+    SimulatedBackend& backend = backends_[random->below(kBackendCount)];
     const MonotonicTime at =
-        server.isFull(now)
+        backend.isFull(now)
             ? now + milliseconds(20) + Duration(static_cast<int>(random->below(25000)))
-            : server.serve(now, work);
-    answers_.push({at, at - now});
+            : backend.serve(now, work);
+    responses_.push({at, at - now});
   }
 
-  void answer() {
-    while (!answers_.empty() && answers_.top().at <= clock.monotonicTime()) {
-      estimator.onResponse(kService, answers_.top().duration);
-      answers_.pop();
+  void deliverResponses() {
+    while (!responses_.empty() && responses_.top().at <= clock.monotonicTime()) {
+      estimator.onResponse(kService, responses_.top().duration);
+      responses_.pop();
     }
   }
 
-  std::array<SlotServer, kServers> servers_;
-  std::priority_queue<Answer, std::vector<Answer>, std::greater<>> answers_;
+  std::array<SimulatedBackend, kBackendCount> backends_;
+  std::priority_queue<Response, std::vector<Response>, std::greater<>> responses_;
 };
 
 }  // namespace
@@ -77,8 +78,8 @@
   EstimatorHarness harness;
   harness.run(seconds(20), 0.4, work);
   const ServiceLoad load = harness.load();
-  CHECK(load.requests_per_second == Approx(8000 / ms(work)).epsilon(0.35));
-  CHECK(ms(load.service_time) == Approx(ms(work)).epsilon(0.3));
+  CHECK(load.requests_per_second == Approx(8000 / inMilliseconds(work)).epsilon(0.35));
+  CHECK(inMilliseconds(load.service_time) == Approx(inMilliseconds(work)).epsilon(0.3));
   CHECK(load.requestsPerBusySlot() < 1.5);
   if (work < milliseconds(100)) {
     CHECK(load.in_flight == Approx(8.5).epsilon(0.35));
@@ -100,15 +101,15 @@
   EstimatorHarness harness;
   harness.run(seconds(15), 0.5, work);
   harness.run(seconds(28), overload, work);
-  CAPTURE(ms(work), overload);
-  CHECK(ms(harness.load().service_time) == Approx(ms(work)).epsilon(0.4));
+  CAPTURE(inMilliseconds(work), overload);
+  CHECK(inMilliseconds(harness.load().service_time) == Approx(inMilliseconds(work)).epsilon(0.4));
 }
 
 TEST_CASE("A queue that stands for minutes near the limit isn't taken for work") {
   EstimatorHarness harness;
   harness.run(seconds(5), 0.5, milliseconds(60));
   harness.run(seconds(120), 0.95, milliseconds(60));
-  CHECK(ms(harness.load().service_time) < 100);
+  CHECK(inMilliseconds(harness.load().service_time) < 100);
 }
 
 TEST_CASE("A real change of work is followed once the memory has passed") {
@@ -117,7 +118,7 @@
   EstimatorHarness harness;
   harness.run(seconds(10), 0.4, before);
   harness.run(seconds(50), 0.4, after);
-  CHECK(ms(harness.load().service_time) == Approx(ms(after)).epsilon(0.4));
+  CHECK(inMilliseconds(harness.load().service_time) == Approx(inMilliseconds(after)).epsilon(0.4));
 }
 
 TEST_CASE("A few tiny answers don't count as work") {
@@ -130,7 +131,7 @@
       harness.estimator.onResponse(kService, Duration(i * 100));
     }
   }
-  CHECK(ms(harness.load().service_time) == Approx(60).epsilon(0.3));
+  CHECK(inMilliseconds(harness.load().service_time) == Approx(60).epsilon(0.3));
   CHECK(harness.load().service_time == without.load().service_time);
   CHECK(harness.load().response_time == without.load().response_time);
 }
