--- a/src/load/admission_control.h
+++ b/src/load/admission_control.h
@@ -10,10 +10,10 @@
   virtual ~AdmissionControl() = default;
 
   /**
-   * Asked for the first copy of an opening only: a later copy may belong to a flow that a server
-   * has already taken, and resetting its caller could cut that flow.
-   * @return false where the caller is to be rejected at once, so that it can try elsewhere or come
-   * back; nothing of its request has run then.
+   * Called for the first transmission of an opening only: a retransmission may belong to a flow
+   * that a backend has already accepted, and resetting its client could cut that flow.
+   * @return false if the client is to be rejected at once, so that it can retry here or elsewhere;
+   * no part of its request has been executed then.
    */
   virtual bool admits(const Service& service, const RequestClass& request_class,
                       const FlowId& flow) = 0;
--- a/src/load/admission_controller.cc
+++ b/src/load/admission_controller.cc
@@ -9,18 +9,22 @@
 
 namespace {
 
-/** Flows a second below which a class counts as absent. */
+/** Demand below which a class has_target as absent [flows/s]. */
 constexpr double kMinDemandPerSecond = 0.5;
-/** Pressure below which slots are free, so that the rate is released and not steered. */
+/** Pressure below which slots are free, so that the rate limit is released and not controlled. */
 constexpr double kMaxFreePressure = 0.5;
-/** Beyond the demand by so much, a limit of the rate means nothing any more. */
+/** Rate limit relative to the demand above which the limit has no effect and is discarded. */
 constexpr double kMaxLimitToDemandRatio = 1.1;
 constexpr double kFullQueueExcess = 0.5;
-/** Time after which slots are counted again: a service may have thousands of servers, of which a
- * few come and go in a second. */
+/**
+ * Time after which slots are counted again: a service may have thousands of backends, of which a
+ * few come and go within a second.
+ */
 constexpr Duration kSlotCountInterval = seconds(1);
-/** Part of the most urgent class's admitted flows that stays admitted at the next step where the
- * class alone brings more than the slots take. */
+/**
+ * Fraction of the most urgent class's admitted flows that stays admitted in the next step if the
+ * class alone exceeds the slots.
+ */
 constexpr double kUrgentRetainedFraction = 0.5;
 constexpr int kReleaseServiceTimes = 4;
 
@@ -28,7 +32,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/** @return a number in [0, 1) that follows from the flow alone, apart from the placement's hash. */
+/** @return a number in [0, 1) derived from the flow alone, independent of the placement's hash. */
 double unitHash(const FlowId& flow) {
   constexpr std::uint64_t kSeed = 0x61646d6974;
   const std::uint64_t content[] = {flow.high, flow.low};
@@ -184,14 +188,14 @@
     state.rate_limit = demand;
   }
   if (state.pressure < kMaxFreePressure) {
-    // Answers of slow services may be few for a moment without a change of their queues.
+    // Responses of slow services may be few for a moment although their queues have not changed.
     const Duration release =
         std::max(settings_.release_time_constant, kReleaseServiceTimes * load.service_time);
     state.rate_limit *= std::exp(elapsed_s / toSeconds(release));
   } else {
     const double full_queue_excess = std::max(excess - kFullQueueExcess, 0.0);
     // Near the limit the effect of a step shows after a response time; with full queues the steps
-    // needn't wait for it.
+    // need not wait for it.
     const double change = settings_.gain * excess /
                               toSeconds(std::max(settings_.min_response_time, load.response_time)) +
                           settings_.gain_when_full * full_queue_excess /
@@ -226,7 +230,7 @@
   if (state.admitted_per_second <= 0) {
     return 0;
   }
-  // Some callers send many requests on a flow.
+  // Some clients send many requests on a flow.
   const double requests_per_flow =
       std::max(input.load.requests_per_second / state.admitted_per_second, 1.0);
   return requestCapacity(input) / requests_per_flow;
--- a/src/load/admission_controller.h
+++ b/src/load/admission_controller.h
@@ -9,90 +9,104 @@
 
 namespace lugfork {
 
-/** Tunables of an AdmissionController. */
+/** Settings of AdmissionController. */
 struct AdmissionSettings {
   /**
-   * Change of the admitted rate for each unit of excess pressure within one response time. Small,
-   * since a queue answers to a few percent of load with several times its length.
+   * Relative change of the rate limit per unit of excess pressure within one response time. Small,
+   * because a few percent more load makes a queue several times longer.
    */
   double gain = 0.1;
-  /** The same for pressure beyond half too much: servers' queues are full then. */
+  /** Additional gain for excess pressure above 0.5, where the backends' queues are full. */
   double gain_when_full = 1;
-  /** Change at once for each unit of excess pressure, which damps the slow one. */
+  /** Immediate reduction of the rate per unit of excess pressure; damps the slower control loop. */
   double damping = 0.15;
-  /** Pressure that counts at most: twice too much calls for the largest step. */
+  /** Upper bound of the excess pressure that is used for a step. */
   double max_excess = 2;
-  /** Time over which the demand of classes is learned: callers' retries are part of it. */
+  /** Time constant of the demand of each class. The demand includes clients' retries. */
   Duration demand_time_constant = milliseconds(600);
-  /** Shortest time over which the admitted rate changes: that of the estimator's smoothing. */
+  /**
+   * Lower bound of the response time by which steps are scaled: the smoothing time constant of the
+   * load estimator.
+   */
   Duration min_response_time = milliseconds(500);
-  /** Time in which the admitted rate grows e times where nothing is known or slots are free. */
+  /**
+   * Time constant of the growth of the rate limit while the pressure is unknown or slots are free.
+   */
   Duration release_time_constant = milliseconds(700);
-  /** Least part of this balancer's part of the slots that stays admitted. */
+  /** Lower bound of the rate limit, relative to this balancer's share of the slots. */
   double min_rate_ratio = 0.7;
   /**
-   * Most of it that is admitted from the moment at which the pressure is too high: callers are
-   * seldom spread over balancers more unevenly, and full queues would hide a larger excess.
+   * Upper bound of the rate limit while the pressure is above 1, relative to this balancer's share
+   * of the slots. Clients are rarely distributed over balancers more unevenly, and full queues
+   * would hide a larger excess.
    */
   double max_rate_ratio = 1.5;
-  /** Zone of this balancer; empty where there are none. */
+  /** Zone of this balancer; empty if there are no zones. */
   std::string local_zone = {};
-  /** Time for which answers of other zones' servers count: few flows leave the own zone. */
+  /**
+   * Time constant of the response times of other zones' backends. Long, because few flows leave the
+   * local zone.
+   */
   Duration remote_time_constant = seconds(2);
-  /** Answers within it from which other zones are taken for as full as the own one. */
+  /**
+   * Responses from other zones, weighted by age, that are needed to estimate their response time.
+   */
   double min_remote_responses = 3;
 };
 
-/** Priorities that are told apart; callers of less urgent ones are treated like the last. */
+/** Number of distinct priorities; a less urgent class is treated like the last one. */
 inline constexpr std::size_t kPriorityCount = 16;
 
 /**
- * Keeps for each service a level from 0 to the number of classes that ask for it. The least urgent
- * class has rank 0; a class of rank r is rejected in the part clamp(level - r, 0, 1) of its flows,
- * drawn by the flow's hash, so that balancers with the same level give the same verdict.
+ * Maintains a level for each service, from 0 to the number of classes with demand. The least urgent
+ * class has rank 0; of a class of rank r the fraction clamp(level - r, 0, 1) of the flows is
+ * rejected. The flow's hash selects the flows, so that balancers with the same level decide alike.
  */
 class AdmissionController : public AdmissionControl {
  public:
-  /** @param policy finds the pressure; nullptr admits everything. */
+  /** @param policy computes the pressure; nullptr admits everything. */
   AdmissionController(const AdmissionSettings& settings, const ServiceLoadEstimator& loads,
                       std::unique_ptr<PressurePolicy> policy, const TimeSource& time_source);
 
   bool admits(const Service& service, const RequestClass& request_class,
               const FlowId& flow) override;
 
-  /** A server beyond the own zone has answered a request, that long after it began. */
+  /** Records the response time of a backend in another zone. */
   void onRemoteResponse(ServiceId service, Duration duration);
 
-  /** Moves the levels; to be called each 100 ms. @param balancers that callers reach. */
+  /**
+   * Updates the levels; to be called every 100 ms.
+   * @param balancers number of balancers that clients reach.
+   */
   void tick(const ConfigurationView& configuration, std::size_t balancers);
 
-  /** @return the level; 0 for a service that nobody asks for. */
+  /** @return the level; 0 for a service without demand. */
   double level(ServiceId service) const;
 
-  /** @return load over its limit as of the last tick; 0 where unknown. */
+  /** @return load relative to its limit as of the last tick; 0 if unknown. */
   double pressure(ServiceId service) const;
 
  private:
-  /** Flows a second that ask, by priority. */
+  /** Offered flows by priority [flows/s]. */
   using Demand = std::array<double, kPriorityCount>;
 
   struct State {
-    /** Flows since the last tick, and the rate that follows from them. */
+    /** Flows since the last tick, and the smoothed rate. */
     Demand arrivals{};
     Demand demand{};
-    /** The same of those that were admitted. */
+    /** The same for admitted flows. */
     double admitted_count = 0;
     double admitted_per_second = 0;
     std::array<Duration, kPriorityCount> targets{};
-    /** Flows a second that may pass; negative for all. */
+    /** Limit of the rate of admitted flows [flows/s]; negative for none. */
     double rate_limit = -1;
     double level = 0;
     double pressure = 0;
-    /** Slots of all servers that may get new flows, and when they were counted. */
+    /** Slots of all backends that accept new flows, and when they were counted. */
     double usable_slots = 0;
     MonotonicTime slots_counted_at;
     bool has_remote_backends = false;
-    /** Answers of other zones' servers and the sum of their times [s], which fade. */
+    /** Number of responses from other zones and the sum of their times [s]; both decay. */
     double remote_response_count = 0;
     double remote_response_sum_s = 0;
     MonotonicTime remote_updated_at;
@@ -101,21 +115,23 @@
   };
 
   double remoteDecay(const State& state, MonotonicTime now) const;
-  /** @return mean time of these answers; zero where too few were seen. */
+  /** @return mean response time in other zones; zero if there are too few responses. */
   Duration remoteResponseTime(const State& state, MonotonicTime now) const;
   void updateDemand(State& state, MonotonicTime now, double elapsed_s) const;
   void updateRateLimit(State& state, const ServiceLoad& load, double elapsed_s) const;
   /**
-   * @return flows a second of the most urgent class that may not be rejected: those that fill the
-   * slots, and in any case those in whose place open flows of other classes bring requests. Such
-   * flows can't be rejected; their requests leave when servers turn them away.
+   * @return the rate of flows of the most urgent class that must not be rejected [flows/s]: those
+   * that fill the slots, and in any case as many as compete with requests on open flows of other
+   * classes. Open flows cannot be rejected; their requests only leave when backends reject them.
    */
   static double guaranteedUrgentRate(const State& state, const PressureInput& input);
-  /** @return requests a second that fill this balancer's part of the slots; 0 where unknown. */
+  /** @return request rate that fills this balancer's share of the slots [1/s]; 0 if unknown. */
   static double requestCapacity(const PressureInput& input);
-  /** @return flows a second that fill this balancer's part of the slots; 0 where unknown. */
+  /** @return flow rate that fills this balancer's share of the slots [flows/s]; 0 if unknown. */
   static double flowCapacity(const State& state, const PressureInput& input);
-  /** @param urgent_rate flows a second of the most urgent class that are never rejected. */
+  /**
+   * @param guaranteed_rate rate of flows of the most urgent class that is never rejected [flows/s].
+   */
   static double levelFor(const Demand& demand, double rate_limit, double guaranteed_rate);
 
   const AdmissionSettings settings_;
--- a/src/load/load_control.h
+++ b/src/load/load_control.h
@@ -9,44 +9,52 @@
 #include "load/admission_controller.h"
 
 /**
- * Load and admission, as the data path talks to them.
+ * Load estimation and admission control, as used by the data path.
  *
- * What is seen. A balancer sees packets of callers only: that a request goes to a server, and that
- * the caller acknowledges the beginning of its answer. From these follow, for each service, the
- * rate of requests, the time of an answer now, and the time of an answer where nothing waits
- * (ServiceLoadEstimator). Answers far too short for work are servers' own rejections.
+ * Measurement. A balancer only sees packets from clients: a request is forwarded to a backend, and
+ * the client acknowledges the first data of the response. From these events ServiceLoadEstimator
+ * derives, for each service, the request rate, the current response time and the response time
+ * without queueing. Responses that are much too short for the work are taken to be rejections by
+ * backends.
  *
- * What is shared. Nothing passes between balancers for this. Each sees a random part of the callers
- * of its zone, and so much the same; the number of balancers and the slots of servers come from the
- * configuration and the membership. A balancer that sees too little admits everything.
+ * Coordination. Balancers exchange no messages for admission control. Each one sees a random sample
+ * of the clients of its zone, so their estimates agree approximately. The number of balancers comes
+ * from the membership, the backends' slots come from the configuration. A balancer with too few
+ * samples admits everything.
  *
- * Who is placed. Every 100 ms each service's pressure is found (PressurePolicy): requests for each
- * busy slot over their limit, or the own part of the work over the own part of the slots. While it
- * is below 1, or unknown, all flows pass. Above it the rate of flows that may pass falls, quickly
- * where the queues are full and slowly near the limit; it rises again below the limit, and is
+ * Limit. Every 100 ms PressurePolicy computes the pressure of each service: requests per busy slot
+ * relative to their limit, or this balancer's share of the work relative to its share of the slots.
+ * While the pressure is below 1 or unknown, all flows are admitted. Above 1 the rate limit falls,
+ * quickly while queues are full and slowly near the limit. Below 1 the limit rises again; it is
  * released once slots are free.
  *
- * Who is rejected. Demand counts by class, callers' retries included. What exceeds the rate is
- * rejected from the least urgent class upwards; of the class at the boundary a part, drawn by the
- * flow's hash. The most urgent class loses at most what its own demand exceeds the slots by. Only
- * the first copy of an opening is asked about, so a rejection never meets a flow that a server has
- * taken; the caller is told at once and may come back under another flow, which is drawn anew.
+ * Rejection. Demand is counted by class and includes clients' retries. Flows in excess of the limit
+ * are rejected, least urgent class first; of the class at the boundary a fraction, selected by the
+ * flow's hash. The most urgent class loses at most the amount by which its own demand exceeds the
+ * slots. Only the first transmission of an opening is subject to admission, so a flow that a
+ * backend has accepted is never rejected. The client is notified at once and may retry with another
+ * flow, for which the decision is independent.
  */
 namespace lugfork {
 
-/** Tunables of a LoadControl. */
+/** Settings of LoadControl. */
 struct LoadControlSettings {
-  /** "off", "in_flight", "response_time" or "share": how pressure is found; "off" still counts. */
+  /** Pressure policy: "off", "in_flight", "response_time" or "share". "off" still counts flows. */
   std::string mode = "off";
   ServiceLoadSettings estimator = {};
   PressureSettings pressure = {};
   AdmissionSettings admission = {};
-  /** Time for which an answer told at once keeps those told later from counting: a weak balancer
-   * gets several in it. */
+  /**
+   * Time for which a promptly acknowledged response suppresses those that are acknowledged late. A
+   * balancer with little traffic receives several prompt ones in it.
+   */
   Duration prompt_response_ttl = seconds(5);
-  /** Least time between two log lines of a service, so that an overload doesn't fill the log. */
+  /**
+   * Minimum interval between two log lines of a service, so that an overload does not flood the
+   * log.
+   */
   Duration min_log_interval = seconds(1);
-  /** Change of the level that is worth a line; less is the noise of arrivals. */
+  /** Minimum change of the level that is logged; smaller changes are noise of the arrivals. */
   double min_logged_change = 0.1;
 };
 
@@ -63,46 +71,50 @@
 
   LoadControl(const LoadControlSettings& settings, const TimeSource& time_source, EventLog& log);
 
-  /** @return true for a mode that a LoadControl knows. */
+  /** @return true if the mode is known. */
   static bool isMode(std::string_view mode);
 
   bool admits(const Service& service, const RequestClass& request_class,
               const FlowId& flow) override;
 
-  /** A request's first data went to a server of the service. */
+  /** Records that the first data of a request was forwarded to a backend of the service. */
   void onRequest(ServiceId service) { estimator_.onRequest(service); }
 
   /**
-   * A caller has received the beginning of an answer, that long after it began to ask.
-   * @param is_prompt whether the caller told it at once: where some do, only those count, since the
-   * others' delay would look like a queue.
-   * @param is_elsewhere whether the server stands beyond the own zone.
+   * Records that a client has acknowledged the first data of a response.
+   * @param duration time since the start of the request.
+   * @param is_prompt whether the client acknowledged at once. If some clients do, only their
+   * responses count, since the delay of the others would look like queueing.
+   * @param is_remote whether the backend is in another zone.
    */
   void onResponse(ServiceId service, Duration duration, bool is_prompt = true,
                   bool is_remote = false);
 
   /**
-   * Moves the levels; to be called each 100 ms.
-   * @param balancers that callers reach, this one included.
+   * Updates the levels; to be called every 100 ms.
+   * @param balancers number of balancers that clients reach, this one included.
    */
   void tick(const ConfigurationView& configuration, std::size_t balancers);
 
   ServiceLoad load(ServiceId service) const { return estimator_.load(service); }
 
-  /** @return classes that are rejected, the least urgent first; a fraction is a part of a class. */
+  /**
+   * @return number of rejected classes, least urgent first; the fractional part is the rejected
+   * fraction of the next class.
+   */
   double level(ServiceId service) const { return controller_.level(service); }
 
-  /** @return the counters of a service, by priority; all zero for an unknown one. */
+  /** @return the counters of a service by priority; all zero for an unknown service. */
   CountersByPriority counters(ServiceId service) const;
 
  private:
   struct ServiceEntry {
     CountersByPriority counters{};
-    /** Last answer that was told at once; unset for none. */
+    /** Last promptly acknowledged response; unset for none. */
     MonotonicTime last_prompt_at;
     double logged_level = 0;
     MonotonicTime logged_at;
-    /** Sums as of the last line. */
+    /** Totals as of the last log line. */
     AdmissionCounters logged_counters;
   };
 
--- a/src/load/opening_backlog.cc
+++ b/src/load/opening_backlog.cc
@@ -29,7 +29,8 @@
 void OpeningBacklog::merge(PendingOpening& pending, PendingOpening later) {
   const bool had_all_transmissions = pending.hasAllTransmissions();
   const std::uint32_t merged = pending.merged + 1;
-  // The earlier bytes tell the router that no server was asked yet; they hold while all are here.
+  // The bytes of the earlier transmission indicate that no backend was asked yet, which is true as
+  // long as all transmissions were queued here.
   if (!had_all_transmissions || later.retransmissions != merged) {
     pending.bytes = std::move(later.bytes);
   }
--- a/src/load/opening_backlog.h
+++ b/src/load/opening_backlog.h
@@ -12,84 +12,104 @@
 
 namespace lugfork {
 
-/** Tunables of an OpeningBacklog. */
+/** Settings of OpeningBacklog. */
 struct OpeningBacklogSettings {
-  /** Time between a caller's beginning and its opening, first copy and second copy. */
+  /** Offsets of the opening, its first and its second retransmission from the start of the flow. */
   std::array<Duration, 3> transmission_offsets{Duration(), milliseconds(200), milliseconds(600)};
-  /** Time after which an opening is of no use, for the first, its first copy and the second: the
-   * caller sends the next copy then, or gives up. */
+  /**
+   * Time for which a queued opening is useful, for the original and both retransmissions. After
+   * that the client has sent the next one or has given up.
+   */
   std::array<Duration, 3> transmission_ttls{milliseconds(200), milliseconds(400),
                                             milliseconds(800)};
-  /** Time since its arrival for which no copy of a first opening can be at a server, the way of a
-   * reset to the caller included: callers send the first copy after twice that long. */
+  /**
+   * Time since its arrival in which no retransmission of an opening can have reached a backend,
+   * including the transit time of a reset to the client. Clients send the first retransmission
+   * after twice that time.
+   */
   Duration exclusive_window = milliseconds(100);
-  /** Wait of the oldest opening from which those are served first whose callers began last: half of
-   * the time for which an opening that waits is of use. */
+  /**
+   * Queueing time of the oldest opening above which openings of the most recently started flows are
+   * served first: half of the time for which a queued opening is useful.
+   */
   Duration newest_first_delay = milliseconds(100);
-  /** Time after an opening was served in which a copy of it was sent before a server's answer could
-   * reach the caller: no sign of a silent server. */
+  /**
+   * Time after an opening was served in which a retransmission was sent before the backend's
+   * response could reach the client. It does not indicate a silent backend.
+   */
   Duration duplicate_window = milliseconds(50);
-  /** Openings kept at most: what a node with a whole core places within 20 ms. */
+  /** Maximum number of queued openings: what a node with a whole core places within 20 ms. */
   std::size_t max_openings = 512;
-  /** Whether openings that won't be served in time are to be rejected. Costs their callers a retry,
-   * but 100 ms less than to wait for the time of the next copy. */
+  /**
+   * Whether openings that cannot be served in time are rejected. A rejection costs the client a
+   * retry, but takes 100 ms less than waiting for the next retransmission.
+   */
   bool rejects_late = false;
 };
 
-/** An opening that was read and waits for its turn. */
+/** An opening that was read and is queued. */
 struct PendingOpening {
   FlowId flow;
-  /** Copies that its caller had sent before this one. */
+  /** Number of transmissions that the client sent before this one. */
   std::uint32_t retransmissions = 0;
-  /** Copies of the opening that wait here as this one. */
+  /** Number of earlier transmissions that were merged into this one. */
   std::uint32_t merged = 0;
   MonotonicTime read_at;
-  /** Since when it has waited, here and in the socket. */
+  /** Start of the queueing time, in the socket and here. */
   MonotonicTime queued_since;
-  /** The earliest time at which it can have come. */
+  /** Earliest time at which it can have arrived. */
   MonotonicTime earliest_arrival;
   std::vector<std::uint8_t> bytes;
 
-  /** @return true where no other node can have got a copy sent before: all have waited here. */
+  /**
+   * @return true if all earlier transmissions were queued here, so that no other node received one.
+   */
   bool hasAllTransmissions() const { return merged == retransmissions; }
 };
 
-/** Counts since the start. */
+/** Counters since the start. */
 struct OpeningBacklogCounters {
-  /** Dropped since a later copy was on its way, or nobody waited any more. */
+  /** Dropped because a later retransmission was under way or the client had given up. */
   std::uint64_t expired = 0;
-  /** Dropped for want of room. */
+  /** Dropped because the backlog was full. */
   std::uint64_t evicted = 0;
-  /** Copies that joined an opening of their flow, or came just after it was served. */
+  /** Retransmissions that were merged into a queued opening or arrived just after it was served. */
   std::uint64_t merged = 0;
-  /** Given up by their callers while they waited. */
+  /** Abandoned by their clients while queued. */
   std::uint64_t abandoned = 0;
 };
 
 /**
- * Openings that wait until packets of open flows are handled. Served in the order of their use to
- * callers: oldest first while none waits for long, else those first whose callers began last, which
- * can still be served in time; never those whose callers have sent a copy or gone. One opening for
- * a flow; bounded memory.
+ * Queues openings while packets of open flows are handled. Openings are served oldest first while
+ * the queueing time is short. Otherwise the most recently started flows come first, since they can
+ * still be served in time. An opening is never served after its client has retransmitted it or
+ * given up. Holds one opening per flow; memory is bounded.
  */
 class OpeningBacklog {
  public:
   explicit OpeningBacklog(OpeningBacklogSettings settings) : settings_(settings) {}
 
-  /** Takes an opening in; a copy joins the one of its flow that waits, which stays useful on. */
+  /**
+   * Queues an opening. A retransmission is merged into the queued opening of its flow, which stays
+   * useful.
+   */
   void add(PendingOpening opening);
 
-  /** The caller of the flow has given it up. */
+  /** Removes the opening of a flow that its client has aborted. */
   void onAbandoned(const FlowId& flow);
 
-  /** @return the opening to be served next, or nothing where none is of use. */
+  /** @return the opening to serve next, or nothing if none is useful. */
   std::optional<PendingOpening> take(MonotonicTime now);
 
-  /** @return the opening to be rejected next: one that has waited for half of the time for which a
-   * rejection is certain to be true; nothing where none is. */
+  /**
+   * @return the opening to reject next: one that has been queued for at least half of
+   * `exclusive_window` and surely arrived within it; nothing if there is none.
+   */
   std::optional<PendingOpening> takeForRejection(MonotonicTime now);
 
-  /** @return true where a copy of the opening may be at a server: another node has got it. */
+  /**
+   * @return true if a transmission of the opening may have reached a backend through another node.
+   */
   bool mayBeOpen(const PendingOpening& opening, MonotonicTime now) const {
     return !opening.hasAllTransmissions() ||
            now - opening.queued_since > settings_.exclusive_window;
@@ -101,7 +121,7 @@
 
  private:
   std::size_t transmissionIndex(const PendingOpening& opening) const;
-  /** @return when the caller of an opening began to wait, at the latest. */
+  /** @return the latest time at which the client can have started the flow. */
   MonotonicTime startedAt(const PendingOpening& opening) const;
   std::deque<PendingOpening>::iterator latestStarted();
   bool isExpired(const PendingOpening& opening, MonotonicTime now) const;
@@ -111,9 +131,7 @@
   const OpeningBacklogSettings settings_;
   /** In the order in which they were read. */
   std::deque<PendingOpening> pending_;
-  /** Served within the time until an answer can be there, in their order; bounded as those that
-   * wait.
-   */
+  /** Served within `duplicate_window`, in order; bounded like the queue. */
   std::deque<std::pair<FlowId, MonotonicTime>> served_;
   OpeningBacklogCounters counters_;
 };
--- a/src/load/policy/in_flight_policy.h
+++ b/src/load/policy/in_flight_policy.h
@@ -5,9 +5,9 @@
 namespace lugfork {
 
 /**
- * Requests present for each slot: those of this balancer, taken as the part of every balancer, over
- * the slots of the service. Needs no time without a queue, so that it also sees an overload that
- * stands since before this balancer's start.
+ * Requests in flight per slot: those of this balancer, multiplied by the number of balancers,
+ * divided by the slots of the service. Needs no response time without queueing, so it also detects
+ * an overload that began before this balancer started.
  */
 class InFlightPolicy : public PressurePolicy {
  public:
--- a/src/load/policy/pressure_policy.cc
+++ b/src/load/policy/pressure_policy.cc
@@ -19,7 +19,7 @@
 }
 
 bool remoteBackendsMayHaveCapacity(const PressureInput& input) {
-  // Queues that are as full differ by less; a zone that has room answers in half of the time.
+  // Equally full queues differ by less; a zone with free slots responds in half of the time.
   constexpr double kMaxRemoteTimeRatio = 0.7;
   if (!input.has_remote_backends) {
     return false;
--- a/src/load/policy/response_time_policy.h
+++ b/src/load/policy/response_time_policy.h
@@ -4,7 +4,9 @@
 
 namespace lugfork {
 
-/** Requests for each busy slot, as response times show them. Needs no count of balancers. */
+/**
+ * Requests per busy slot, derived from response times. Does not depend on the number of balancers.
+ */
 class ResponseTimePolicy : public PressurePolicy {
  public:
   explicit ResponseTimePolicy(const PressureSettings& settings) : settings_(settings) {}
--- a/src/load/policy/utilization_policy.h
+++ b/src/load/policy/utilization_policy.h
@@ -4,7 +4,10 @@
 
 namespace lugfork {
 
-/** The own part of all requests, taken as that of every balancer, over the slots of the service. */
+/**
+ * Busy slots of the service relative to its slots: this balancer's request rate, multiplied by the
+ * number of balancers, times the service time.
+ */
 class UtilizationPolicy : public PressurePolicy {
  public:
   explicit UtilizationPolicy(const PressureSettings& settings) : settings_(settings) {}
--- a/src/load/receive_backlog.cc
+++ b/src/load/receive_backlog.cc
@@ -14,10 +14,10 @@
 }
 
 void ReceiveBacklog::detectPause(MonotonicTime now) {
-  // With datagrams at hand the next turn follows at once.
+  // While datagrams are available the next batch follows immediately.
   if (has_queue_ && now - last_batch_at_ >= settings_.min_pause) {
     ++pauses_;
-    // The rate of a process that did not run shows nothing.
+    // The rate measured across a pause is not representative.
     measured_datagrams_ = 0;
     measured_from_ = now;
   }
--- a/src/load/receive_backlog.h
+++ b/src/load/receive_backlog.h
@@ -7,87 +7,110 @@
 
 namespace lugfork {
 
-/** Tunables of a ReceiveBacklog. */
+/** Settings of ReceiveBacklog. */
 struct ReceiveBacklogSettings {
-  /** Time without an empty socket from which this node is behind: half of the time after which
-   * callers send an opening again. */
+  /**
+   * Time without an empty socket after which this node counts as behind: half of the time after
+   * which clients retransmit an opening.
+   */
   Duration behind_delay = milliseconds(100);
-  /** Time after being behind in which repetitions may still answer this node's own delay: callers
-   * repeat after that long. */
+  /**
+   * Time after being behind in which retransmissions may still result from this node's own delay:
+   * the clients' retransmission timeout.
+   */
   Duration evidence_settle_window = milliseconds(200);
-  /** Time between two turns, with datagrams at hand, from which the process surely stood still:
-   * callers' first copies are half under way. */
+  /**
+   * Minimum time between two batches, with datagrams available, that is recognized as a pause of
+   * the process: half of the time after which clients send the first retransmission.
+   */
   Duration min_pause = milliseconds(100);
-  /** Time of datagrams that may wait in the socket: later ones are sent again by callers before
-   * they would be handled. */
+  /**
+   * Maximum time for which datagrams may wait in the socket; after that clients retransmit them
+   * before they would be handled.
+   */
   Duration max_socket_delay = milliseconds(250);
-  /** Bounds of what the socket holds [datagrams]: a burst that a node with a whole core handles in
-   * time, and what a weak node needs while its first view is read. */
+  /**
+   * Bounds of the socket's capacity [datagrams]: a burst that a node with a whole core handles in
+   * time, and what a node with little CPU needs while it reads its first view.
+   */
   std::size_t min_datagrams = 256;
   std::size_t max_datagrams = 8192;
 };
 
-/** What one turn of the event loop read from the socket. */
+/** Result of reading the socket once. */
 struct ReceiveBatch {
   std::size_t datagrams = 0;
-  /** The socket held nothing more at the end of the read. */
+  /** Whether the socket was empty at the end of the read. */
   bool is_empty = false;
-  /** False where that is only likely: a single datagram came after a pause. */
+  /** False if that is only likely: a single datagram arrived after a pause. */
   bool is_certain = true;
 };
 
 /**
- * Learns from reads whether a socket has a standing queue, one that does not empty for an interval,
- * and for how long. Knows no socket and no content.
+ * Detects a standing queue, that is a socket that does not empty for an interval, and measures how
+ * long it has been standing. Works on the results of reads; independent of the socket and of the
+ * contents of datagrams.
  */
 class ReceiveBacklog {
  public:
   ReceiveBacklog(ReceiveBacklogSettings settings, MonotonicTime now)
       : settings_(settings), last_empty_at_(now), last_batch_at_(now), measured_from_(now) {}
 
-  /** Notes a read. Costs no clock read: the caller has the time. */
+  /** Records a read. The time is passed in, so that the clock is not read again. */
   void onBatch(const ReceiveBatch& batch, MonotonicTime now);
 
-  /** @return true where the queue stands for longer than `behind_after`. */
+  /** @return true if the queue has been standing for at least `behind_delay`. */
   bool isBehind() const { return behind_; }
 
-  /** @return true where what callers repeat may be due to this node's own delay, so that it shows
-   * nothing of servers. */
+  /**
+   * @return true if retransmissions may result from this node's own delay, so that they are no
+   * evidence about backends.
+   */
   bool evidenceIsStale(MonotonicTime now) const {
     return behind_ || (was_behind_ && now - caught_up_at_ < settings_.evidence_settle_window);
   }
 
-  /** @return for how long the queue has not been empty; zero where it is. */
+  /** @return time for which the queue has not been empty; zero if it is empty. */
   Duration queuedFor(MonotonicTime now) const {
     return has_queue_ ? now - queue_since_ : Duration::zero();
   }
 
-  /** @return when the socket was last found empty: what is read now came after that. */
+  /** @return when the socket was last found empty; datagrams that are read now arrived later. */
   MonotonicTime lastEmptyAt() const { return last_empty_at_; }
 
-  /** @return since when a datagram that is read now has waited, if the process did not stand still
-   * before the queue began. */
+  /**
+   * @return the time since when a datagram that is read now may have waited, provided that the
+   * process was not paused before the queue formed.
+   */
   MonotonicTime queuedSince(MonotonicTime now) const { return now - queuedFor(now); }
 
-  /** What waited was not read for other reasons: what callers repeat is this node's delay. */
+  /**
+   * Records that datagrams were not read for another reason; retransmissions result from this
+   * node's delay.
+   */
   void onDelayed(MonotonicTime now) {
     was_behind_ = true;
     caught_up_at_ = now;
   }
 
-  /** @return estimate of the time that a datagram now spends in the socket, at most the bound that
-   * `socketDatagrams` gives it. */
+  /**
+   * @return estimate of the current queueing time in the socket, limited to `max_socket_delay`,
+   * which also determines `socketDatagrams`.
+   */
   Duration delay(MonotonicTime now) const {
     return std::min(queuedFor(now), settings_.max_socket_delay);
   }
 
-  /** @return how many datagrams the socket should hold, by the rate of the last time behind. */
+  /**
+   * @return the capacity that the socket should have [datagrams], from the rate measured while this
+   * node was last behind.
+   */
   std::size_t socketDatagrams() const { return socket_datagrams_; }
 
-  /** @return how often the process stood still with datagrams at hand. */
+  /** @return how often the process was paused while datagrams were available. */
   std::size_t pauses() const { return pauses_; }
 
-  /** @return how often this node fell behind. */
+  /** @return how often this node has fallen behind. */
   std::size_t timesBehind() const { return times_behind_; }
 
  private:
--- a/src/load/service_load.cc
+++ b/src/load/service_load.cc
@@ -10,20 +10,33 @@
 namespace {
 
 /**
- * An answer shorter than the usual one over this says that the request did not run: servers queue a
- * few requests for each slot, so one that ran at once takes more than a sixth of one that waited.
+ * A response that is shorter than the usual one by this factor is taken for a rejection. Backends
+ * queue only a few requests per slot, so a request that was processed updated_at once takes more
+ * than a sixth of the time of a queued one.
  */
 constexpr double kMinRejectionRatio = 6;
-/** Answers of at least this part of the service time have run, however long others wait... */
+/**
+ * Minimum response time of processed requests, relative to the service time, while queues are long.
+ * Shorter responses are then rejections by full backends.
+ */
 constexpr double kMinWorkFraction = 0.7;
-/** ...and shorter ones have not where the others take this multiple: they met full servers. */
+/** Mean response time relative to the service time from which queues count as long. */
 constexpr double kMinQueueRatio = 2;
-/** Time and surplus over which answers that seem to be rejections show that work has changed. */
+/**
+ * Time constant and ratio by which presumed rejections must outnumber other responses to show that
+ * the work itself has become shorter.
+ */
 constexpr Duration kWorkChangeTimeConstant = seconds(5);
 constexpr double kMinWorkChangeRatio = 20;
-/** Service times over which slow answers are smoothed, so that a weak balancer sees some. */
+/**
+ * Slow responses are smoothed over this many service times, so that a balancer with little traffic
+ * sees some.
+ */
 constexpr int kSmoothedServiceTimes = 3;
-/** Longest smoothing: callers that give up after a second or two must not pass unseen. */
+/**
+ * Maximum smoothing time constant, so that clients that give up after one or two seconds are
+ * noticed.
+ */
 constexpr Duration kMaxSmoothingTimeConstant = seconds(2);
 
 double inMilliseconds(Duration duration) {
@@ -34,7 +47,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(value));
 }
 
-/** Sum of which old parts fade. */
+/** Exponentially decaying sum. */
 struct DecayingSum {
   double value = 0;
   MonotonicTime updated_at;
@@ -76,7 +89,7 @@
                       std::max(settings.smoothing_time_constant, kMaxSmoothingTimeConstant));
   }
 
-  /** @return mean of the answers of the last moments [ms]; 0 without any. */
+  /** @return mean recent response time [ms]; 0 without any response. */
   double meanResponseMs() const {
     return responses.value > 0 ? response_sum_ms.value / responses.value : 0;
   }
@@ -117,7 +130,7 @@
         kMinWorkChangeRatio * (1 + work_responses)) {
       return;
     }
-    // Nearly all answers are that short: they are the work.
+    // Nearly all responses are that short, so they are the actual work.
     state.service_time = ServiceTime(settings_.service_time_window);
     state.responses = state.response_sum_ms = state.presumed_rejections = {};
   }
@@ -138,7 +151,7 @@
   const double smoothing_time_constant_s =
       std::chrono::duration<double>(settings_.smoothing_time_constant).count();
   const double age_s = std::chrono::duration<double>(now - state.created_at).count();
-  // A balancer that has just started has seen a part of the smoothing time only.
+  // Shortly after the start only a part of the smoothing period has been observed.
   const double observed_s =
       smoothing_time_constant_s * (1 - std::exp(-std::max(age_s, 0.1) / smoothing_time_constant_s));
   ServiceLoad load;
--- a/src/load/service_load.h
+++ b/src/load/service_load.h
@@ -8,52 +8,60 @@
 
 namespace lugfork {
 
-/** What one balancer has seen lately of a service, from the packets of its callers alone. */
+/** Recent load of a service as observed by one balancer, from clients' packets alone. */
 struct ServiceLoad {
-  /** Requests that went to the service through this balancer, a second. */
+  /** Requests that were sent to the service through this balancer [1/s]. */
   double requests_per_second = 0;
-  /** Typical time of an answer where nothing waits in a queue; zero where that is not known. */
+  /** Typical response time without queueing; zero if unknown. */
   Duration service_time{};
-  /** Typical time of the answers of the last moments; zero where there were too few. */
+  /** Typical recent response time; zero if there were too few responses. */
   Duration response_time{};
-  /** Requests of this balancer that wait for their answer. */
+  /** Requests of this balancer that have no response yet. */
   double in_flight = 0;
 
-  /** @return requests that are present for each one that is worked on: 1 without a queue; 0 where
-   * too little is known. */
+  /**
+   * @return outstanding requests per request that is being processed: 1 without queueing; 0 if too
+   * little is known.
+   */
   double requestsPerBusySlot() const;
 };
 
-/** Tunables of a ServiceLoadEstimator. */
+/** Settings of ServiceLoadEstimator. */
 struct ServiceLoadSettings {
-  /** Time over which rates and response times are smoothed: some dozen answers of a weak balancer,
-   * and a queue of a second's requests shows before callers' targets have passed. */
+  /**
+   * Time constant of rates and response times. It covers about a dozen responses at a balancer with
+   * little traffic, and a queue of one second's requests is detected before clients' deadlines
+   * expire.
+   */
   Duration smoothing_time_constant = milliseconds(500);
-  /** Time for which a short answer counts as evidence of the service time without a queue. */
+  /** Time for which a short response counts as evidence of the service time without queueing. */
   Duration service_time_window = seconds(30);
-  /** Answers within the smoothing time that are needed before response times are believed. */
+  /** Responses within the time constant that are needed to estimate the response time. */
   double min_samples = 8;
 };
 
 /**
- * Estimates each service's rate of requests, its service time and its queue from requests that pass
- * and answers that are acknowledged. Needs no word of the servers. Bounded memory for a service.
+ * Estimates the request rate, service time and queueing of each service from forwarded requests and
+ * acknowledged responses. Needs no reports from backends. Memory per service is bounded.
  */
 class ServiceLoadEstimator {
  public:
   ServiceLoadEstimator(ServiceLoadSettings settings, const TimeSource& time_source);
   ~ServiceLoadEstimator();
 
-  /** A request's first data went to a server of the service. */
+  /** Records that the first data of a request was forwarded to a backend of the service. */
   void onRequest(ServiceId service);
 
-  /** A caller has received the beginning of an answer, that long after it began to ask. */
+  /**
+   * Records that a client has received the first data of a response.
+   * @param duration time since the start of the request.
+   */
   void onResponse(ServiceId service, Duration duration);
 
-  /** @return what is known now; all zero for a service without requests. */
+  /** @return the current estimate; all zero for a service without requests. */
   ServiceLoad load(ServiceId service) const;
 
-  /** Forgets services that are not known any more. */
+  /** Removes services that are no longer configured. */
   void retain(const ConfigurationView& configuration);
 
  private:
--- a/src/load/service_time.cc
+++ b/src/load/service_time.cc
@@ -7,13 +7,16 @@
 
 namespace {
 
-/** Stretches that the memory is divided into: one must lie between two bursts of callers. */
+/** Windows per retention time: one of them has to lie between two bursts of requests. */
 constexpr int kWindowsPerRetention = 10;
-/** Answers that a stretch needs: the mean of work that differs by half is right to a tenth then. */
+/**
+ * Minimum number of responses in a window. With work that varies by half, the error of the mean is
+ * a tenth then.
+ */
 constexpr std::uint32_t kMinWindowResponses = 32;
 constexpr double kBucketsPerOctave = 4;
 constexpr double kLowQuantile = 0.05;
-/** Growth of the short answers from which work has changed: less comes from a standing queue. */
+/** Growth of the short responses from which the work has changed; a standing queue causes less. */
 constexpr double kMinWorkChangeRatio = 2;
 
 }  // namespace
@@ -65,7 +68,7 @@
 }
 
 bool ServiceTime::isExpired(const ResponseTimeSummary& window, MonotonicTime now) const {
-  // A stretch that began within the memory has ended up to its own length later.
+  // A window that began within the retention time may end up to its own length later.
   return now - window.ended_at > retention_ + retention_ / kWindowsPerRetention;
 }
 
--- a/src/load/service_time.h
+++ b/src/load/service_time.h
@@ -8,32 +8,32 @@
 
 namespace lugfork {
 
-/** Answers of one stretch of time in short: how long they took in the mean, and the short ones. */
+/** Summary of the responses of one window: their mean time and the time of the short ones. */
 struct ResponseTimeSummary {
   double mean_ms = 0;
-  /** Time that one answer in twenty falls short of. */
+  /** 5th percentile of the response times. */
   double p5_ms = 0;
   MonotonicTime ended_at;
 };
 
 /**
- * Finds how long answers take where nothing waits in a queue: the mean of the stretch of the last
- * moments with the lowest one, so that requests of uneven work are compared with their like. Once
- * that stretch is older than the memory, the time rises where the short answers have become much
- * longer too: under a standing queue a few requests still meet a free slot.
+ * Estimates the response time without queueing: the mean of the recent window with the lowest mean.
+ * Whole windows are compared so that requests of uneven work average out. Once that window is older
+ * than the retention time, the estimate rises only if the short responses have become much longer
+ * too: under a standing queue a few requests still find a free slot.
  */
 class ServiceTime {
  public:
-  /** @param memory time for which a stretch counts. */
+  /** @param retention time for which a window counts. */
   explicit ServiceTime(Duration retention) : retention_(retention) {}
 
   void add(double response_ms, MonotonicTime now);
 
-  /** @return the time [ms]; 0 where it is not known. */
+  /** @return the service time [ms]; 0 if unknown. */
   double valueMs(MonotonicTime now) const;
 
  private:
-  /** A quarter of an octave each, from 1 ms to a minute: longer than any caller waits. */
+  /** A quarter of an octave each, from 1 ms to a minute: longer than any client waits. */
   static constexpr std::size_t kBuckets = 64;
 
   void closeWindow(MonotonicTime now);
@@ -42,9 +42,9 @@
   bool isExpired(const ResponseTimeSummary& window, MonotonicTime now) const;
 
   Duration retention_;
-  /** Whole stretches that count, the oldest first. */
+  /** Complete windows that still count, oldest first. */
   std::vector<ResponseTimeSummary> windows_;
-  /** The lowest stretch, with its mean as the service time. */
+  /** The window with the lowest mean, which is the service time. */
   ResponseTimeSummary reference_;
   MonotonicTime opened_at_;
   double sum_ms_ = 0;
--- a/src/load/zone_demand.cc
+++ b/src/load/zone_demand.cc
@@ -38,7 +38,7 @@
 void ZoneDemand::onRequest(ServiceId service) {
   const auto [entry, is_new] = states_.try_emplace(service);
   if (is_new) {
-    // The first request begins the time in which others are counted.
+    // The first request starts the period in which further ones are counted.
     entry->second.updated_at = time_source_.monotonicTime();
     return;
   }
@@ -80,7 +80,7 @@
 
 void ZoneDemand::adoptChange(State& state, const Count& new_requests) const {
   const double expected = state.smoothed.rate() * state.recent.seconds;
-  // A fading count spreads as one of half of its requests does.
+  // The variance of an exponentially decaying count is half of its mean.
   const double standard_error = std::sqrt(std::max(expected, state.recent.requests) / 2);
   const double standard_errors = (state.recent.requests - expected) / standard_error;
   if (standard_error <= 0 || (standard_errors <= settings_.rise_threshold &&
@@ -90,11 +90,11 @@
   const double weight = std::min(state.smoothed.requests, settings_.min_requests);
   state.smoothed = state.recent;
   if (new_requests.rate() > state.recent.rate()) {
-    // In a rise the recent rate lags: what came since the last update counts twice.
+    // During a rise the recent rate lags behind, so the requests since the last update count twice.
     state.smoothed.requests += new_requests.requests;
     state.smoothed.seconds += new_requests.seconds;
   }
-  // What was known stays so, but weighs little against what comes next.
+  // A known demand stays known, but has little weight against the next requests.
   if (state.smoothed.requests < weight) {
     state.smoothed.setWeight(weight);
   }
--- a/src/load/zone_demand.h
+++ b/src/load/zone_demand.h
@@ -9,84 +9,97 @@
 
 namespace lugfork {
 
-/** Tunables of a ZoneDemand. */
+/** Settings of ZoneDemand. */
 struct ZoneDemandSettings {
-  /** Time over which the last requests are watched for a change: callers' targets have not passed
-   * after it, and a weak balancer sees half a dozen requests. */
+  /**
+   * Time constant of the recent rate, in which a change is detected. Clients' deadlines are longer,
+   * and a balancer with little traffic sees half a dozen requests in it.
+   */
   Duration recent_time_constant = milliseconds(500);
-  /** Requests after which a demand is told: it may err by half then, yet callers of a zone with
-   * half of the slots that they need must not wait until more is known. */
+  /**
+   * Requests that are needed for an estimate. Its error may be one half then, but clients of a zone
+   * with half of the required slots must not wait until more is known.
+   */
   double min_requests = 5;
-  /** Requests over which it is smoothed: it then errs by a twentieth, less than two steps of the
-   * callers' share, so that copies of an opening mostly find the same server. */
+  /**
+   * Requests over which the demand is smoothed. Its error is then a twentieth, less than two steps
+   * of the remote fraction, so that retransmissions of an opening mostly reach the same backend.
+   */
   double max_smoothed_requests = 400;
-  /** Longest time over which it is smoothed: callers of a quiet service come and go meanwhile. */
+  /** Maximum time constant of the smoothing. At quiet services clients come and go within it. */
   Duration max_smoothing_time_constant = seconds(10);
-  /** Standard errors from which the recent requests show more callers rather than chance: one of
-   * 4,000 moments errs, for each sends callers beyond for seconds; three times the callers show in
-   * half a second to a dozen requests a second. */
+  /**
+   * Number of standard errors above which the recent rate counts as a rise. A false detection,
+   * which happens once in 4,000 evaluations, sends clients to other zones for seconds. A threefold
+   * rise is detected within half a second at a dozen requests per second.
+   */
   double rise_threshold = 3.5;
-  /** The same for fewer callers: an error brings callers back by a step or two, and only for a
-   * second. */
+  /**
+   * The same for a fall. A false detection returns clients to the local zone by a step or two, and
+   * only for a second.
+   */
   double fall_threshold = 2.5;
 };
 
-/** What the callers of the own zone ask of a service. */
+/** Demand of the clients of the local zone for a service. */
 struct DemandEstimate {
-  /** Slots that they keep busy, wherever they are served; 0 where it is not known. */
+  /** Slots that they keep busy, in whichever zone they are served; 0 if unknown. */
   double busy_slots = 0;
-  /** Time of an answer where nothing waits; zero where that is not known. */
+  /** Response time without queueing; zero if unknown. */
   Duration service_time{};
 };
 
-/** Balancers that the callers of the own zone are spread over. */
+/** Balancers over which the clients of the local zone are distributed. */
 struct ZoneBalancers {
-  /** Those of the own zone; 0 where it is not told which they are. */
+  /** Balancers of the local zone; 0 if unknown. */
   std::size_t local_zone = 0;
-  /** All that are known, this one included, and the zones they are spread over. */
+  /**
+   * All known balancers, this one included, and the number of zones over which they are
+   * distributed.
+   */
   std::size_t total = 1;
   std::size_t zone_count = 1;
 
-  /** @return those of the own zone; where not told, an even part of all. */
+  /** @return balancers of the local zone; if unknown, an even fraction of all. */
   double inLocalZone() const;
 };
 
 /**
- * Estimates how many slots of a service the callers of the own zone keep busy, wherever they are
- * served: the requests that came to this balancer, times the balancers of the zone, times the
- * service time. Requests count, not flows, since open flows go on bringing them. Chance is smoothed
- * over a number of requests; what is more than chance counts at once. Below a
- * few requests the demand is not known, rather than guessed.
+ * Estimates how many slots of a service the clients of the local zone keep busy, in whichever zone
+ * they are served: the request rate at this balancer, times the balancers of the zone, times the
+ * service time. Requests count and not flows, because open flows continue to send them. Noise is
+ * smoothed over a number of requests; a statistically significant change takes effect at once. With
+ * too few requests the demand is unknown and no value is guessed.
  */
 class ZoneDemand {
  public:
   ZoneDemand(ZoneDemandSettings settings, const TimeSource& time_source)
       : settings_(settings), time_source_(time_source) {}
 
-  /** A request's first data went to a server of the service. */
+  /** Records that the first data of a request was forwarded to a backend of the service. */
   void onRequest(ServiceId service);
 
   /**
-   * Counts what came since the last update; to be called a few times a second.
-   * @param service_time time of an answer where nothing waits; zero where that is not known.
-   * @return the demand; unknown where few requests were seen or the service time is not known.
+   * Evaluates the requests since the last update; to be called a few times per second.
+   * @param service_time response time without queueing; zero if unknown.
+   * @return the demand; unknown if there were too few requests or the service time is unknown.
    */
   DemandEstimate update(ServiceId service, Duration service_time, const ZoneBalancers& balancers);
 
   /** @return the demand as of the last update. */
   DemandEstimate demand(ServiceId service) const;
 
-  /** Forgets services that are not known any more. */
+  /** Removes services that are no longer configured. */
   void retain(const ConfigurationView& configuration);
 
  private:
-  /** Requests within a time, of which the old ones fade. */
+  /** Requests within a period; older ones decay. */
   struct Count {
     double requests = 0;
     double seconds = 0;
     double rate() const { return seconds > 0 ? requests / seconds : 0; }
     void decay(double elapsed_s, Duration time_constant);
-    /** Keeps the rate, and lets it weigh as so many requests. */
+    /** Sets the number of requests and keeps the rate. */
     void setWeight(double count);
   };
 
@@ -100,7 +113,7 @@
   };
 
   void updateRates(State& state, double elapsed_s) const;
-  /** Takes the recent rate where it differs from the smoothed one by more than chance. */
+  /** Adopts the recent rate if it differs significantly from the smoothed one. */
   void adoptChange(State& state, const Count& new_requests) const;
 
   const ZoneDemandSettings settings_;
--- a/tests/load/admission_comparison_test.cc
+++ b/tests/load/admission_comparison_test.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("Table of the ways to find pressure", "[.table]") {
+TEST_CASE("table of pressure policies", "[.table]") {
   for (const char* mode : {"off", "in_flight", "response_time", "share"}) {
     for (const double load : {0.78, 1.0, 1.29, 2.0}) {
       AdmissionReplay replay({mode});
--- a/tests/load/admission_controller_test.cc
+++ b/tests/load/admission_controller_test.cc
@@ -13,16 +13,18 @@
 const RequestClass kUrgent{0, milliseconds(150), {}};
 const RequestClass kOther{3, milliseconds(150), {}};
 
-/** Pressure that the test sets. */
+/** Policy with a pressure that the test sets. */
 struct ManualPressurePolicy : PressurePolicy {
   explicit ManualPressurePolicy(const double& source) : value(source) {}
   double pressure(const PressureInput&) const override { return value; }
   const double& value;
 };
 
-/** One controller with answers of 20 ms, before four slots of which it has all: 200 a second. */
+/** One controller with response times of 20 ms that has all four slots: 200 flows per second. */
 struct ControllerHarness {
-  /** Lets a tenth of a second pass, with that many flows of each class and the time of an answer.
+  /**
+   * Advances the time by a tenth of a second, with that many flows of each class and a response
+   * time.
    */
   void advanceTenthSecond(int urgent, int others, Duration response_time = milliseconds(20)) {
     rejected_urgent = rejected_others = 0;
@@ -55,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("The most urgent class loses at most what its own demand exceeds the slots by") {
+TEST_CASE("most urgent class loses at most the excess of its own demand over the slots") {
   ControllerHarness harness;
   harness.pressure = 5;
   for (int i = 0; i < 100; ++i) {
@@ -68,15 +70,15 @@
     harness.advanceTenthSecond(30, 0);
     rejected += i >= 50 ? harness.rejected_urgent : 0;
   }
-  // 300 a second ask for 200 a second of slots.
+  // 300 flows per second are offered; the slots serve 200.
   CHECK(rejected / 1500.0 == Approx(1.0 / 3).margin(0.06));
 }
 
-TEST_CASE("Requests on open flows of other classes keep no urgent flow out") {
+TEST_CASE("requests on open flows of other classes cause no rejection of urgent flows") {
   ControllerHarness harness;
   harness.pressure = 5;
   for (int i = 0; i < 100; ++i) {
-    // Their answers have never come without a queue, so that the slots seem to be four times fewer.
+    // No response without queueing was ever observed, so the slots seem to be four times fewer.
     for (int request = 0; request < 12; ++request) {
       harness.loads.onRequest(ServiceId(1));
       harness.loads.onResponse(ServiceId(1), milliseconds(80));
@@ -87,7 +89,8 @@
   CHECK(harness.level() == Approx(1));
 }
 
-TEST_CASE("Nothing is rejected for a full zone while servers of another may have room") {
+TEST_CASE(
+    "no flow is rejected for a full zone while backends of another zone may have free slots") {
   PressureInput input;
   input.load.response_time = milliseconds(90);
   CHECK_FALSE(remoteBackendsMayHaveCapacity(input));
@@ -99,7 +102,7 @@
   CHECK_FALSE(remoteBackendsMayHaveCapacity(input));
 }
 
-TEST_CASE("A level falls to zero within two seconds once the load has gone or isn't known") {
+TEST_CASE("admission level falls to zero within two seconds once the load ends or is unknown") {
   ControllerHarness harness;
   harness.pressure = 3;
   for (int i = 0; i < 50; ++i) {
@@ -114,7 +117,8 @@
   CHECK(harness.level() == 0);
 }
 
-TEST_CASE("Balancers with the same level reject the same flows, and more at a higher level") {
+TEST_CASE(
+    "balancers with the same level reject the same flows, and the level is the rejected fraction") {
   ControllerHarness first;
   ControllerHarness second;
   first.pressure = second.pressure = 1.3;
@@ -135,7 +139,7 @@
   CHECK(rejected / 2000.0 == Approx(first.level()).margin(0.05));
 }
 
-TEST_CASE("Nothing is rejected where slots, service time or service are unknown") {
+TEST_CASE("no flow is rejected while slots, service time or service are unknown") {
   const bool has_slots = GENERATE(true, false);
   const bool has_responses = GENERATE(true, false);
   for (const char* mode : {"response_time", "share"}) {
@@ -165,12 +169,12 @@
     CHECK(control.level(ServiceId(77)) == 0);
     CHECK(control.load(ServiceId(77)).requestsPerBusySlot() == 0);
     CHECK(control.counters(ServiceId(77))[0].offered == 0);
-    // The service was gone for a moment: its counters hold the 40 flows of each of 19 tenths.
+    // The service was removed for a moment: its counters hold the 40 flows of each of 19 steps.
     CHECK(control.counters(ServiceId(1))[kPriorityCount - 1].offered == 760);
   }
 }
 
-TEST_CASE("Pressure follows requests for each slot, callers' targets and free slots") {
+TEST_CASE("pressure depends on requests per slot, response time targets and free slots") {
   const PressureSettings settings;
   PressureInput input;
   input.usable_slots = 10;
--- a/tests/load/admission_replay.h
+++ b/tests/load/admission_replay.h
@@ -8,7 +8,10 @@
 #include "load/load_control.h"
 #include "load/load_fixture.h"
 
-/** Callers of two classes who come back, balancers that admit, and servers with queues. */
+/**
+ * Simulates clients of two classes that retry, balancers with admission control, and backends with
+ * queues.
+ */
 namespace lugfork {
 
 inline Configuration replayConfiguration(std::uint32_t backend_count, std::uint32_t slots = 2) {
@@ -27,7 +30,7 @@
   return configuration;
 }
 
-/** What became of the requests of one class. */
+/** Results of the requests of one class. */
 struct ClassOutcome {
   int request_count = 0;
   int in_time_count = 0;
@@ -47,8 +50,7 @@
   double requests_per_slot_sum = 0;
   int sample_count = 0;
 
-  /** @return share of the worth of all requests that was served in time; urgent ones are worth 2.
-   */
+  /** @return fraction of all requests that were served in time, with urgent ones weighted by 2. */
   double weightedInTimeFraction() const {
     return (2.0 * urgent.in_time_count + other.in_time_count) /
            std::max(2.0 * urgent.request_count + other.request_count, 1.0);
@@ -78,7 +80,7 @@
     }
   }
 
-  /** @param share of the slots that the requests fill, retries not counted. */
+  /** @param load_ratio requested work relative to the slots, without retries. */
   ReplayOutcome run(Duration time, double load_ratio) {
     outcome_ = {};
     double mean_ms = 0;
@@ -102,7 +104,7 @@
     return outcome_;
   }
 
-  /** Replaces a balancer by one that has just started. */
+  /** Replaces a balancer by a newly started one. */
   void restart(std::size_t index) { balancers_[index] = makeBalancer(); }
   LoadControl& balancer(std::size_t index) { return *balancers_[index]; }
 
--- a/tests/load/ingress_replay.h
+++ b/tests/load/ingress_replay.h
@@ -12,40 +12,45 @@
 #include "load/opening_backlog.h"
 #include "load/receive_backlog.h"
 
-/** One weak node's packets, in virtual time: callers send openings with copies, and open flows. */
+/**
+ * Simulates the packets of one node with little CPU in virtual time: clients that send openings
+ * with retransmissions, and open flows.
+ */
 namespace lugfork {
 
-/** How the node reads and serves. */
+/** Order in which the node reads and serves packets. */
 enum class IngressOrder {
-  /** One datagram after the other, in the order of their arrival. */
+  /** One datagram after the other, in the order of arrival. */
   ArrivalOrder,
-  /** Open flows first, openings by OpeningBacklog. */
+  /** Open flows first; openings in the order of OpeningBacklog. */
   OpenFlowsFirst,
 };
 
 struct IngressLoad {
   IngressOrder order = IngressOrder::OpenFlowsFirst;
-  /** Datagrams that the socket holds. */
+  /** Capacity of the socket [datagrams]. */
   std::size_t socket_capacity = 350;
-  /** Flows that callers begin a second. */
+  /** Flows that clients start [1/s]. */
   double openings_per_second = 200;
-  /** Until then the node reads nothing, or only reads. */
+  /** Time of the first view; until then the node reads nothing, or reads without serving. */
   Duration first_view_delay{};
   Duration duration = seconds(10);
   OpeningBacklogSettings backlog;
 };
 
 struct IngressResult {
-  /** Flows whose last packet was forwarded within kAim of their beginning, later, and never. */
+  /** Flows whose last packet was forwarded within kDeadline after the start, later, and never. */
   int in_time_count = 0;
   int late_count = 0;
   int never_count = 0;
-  /** Openings that were placed though a copy of their flow was, or their callers had gone. */
+  /**
+   * Openings that were placed although their flow was already placed or the client had given up.
+   */
   int useless_placements = 0;
   int lost_count = 0;
   std::vector<Duration> open_flow_delays;
 
-  /** @return what all but so many of a thousand packets of open flows waited. */
+  /** @return the delay of packets of open flows at this quantile [1/1000]. */
   Duration openFlowDelay(std::size_t permille) {
     std::sort(open_flow_delays.begin(), open_flow_delays.end());
     return open_flow_delays.empty()
@@ -61,7 +66,10 @@
   static constexpr Duration kForwardTime{790};
   static constexpr Duration kPlaceTime{1580};
   static constexpr std::size_t kBatchSize = 32;
-  /** Packets that follow an opening, each so long after the one before was forwarded. */
+  /**
+   * Number of packets after an opening; each is sent kResponseTime after the previous one was
+   * forwarded.
+   */
   static constexpr int kFollowingPackets = 4;
   static constexpr Duration kResponseTime = milliseconds(20);
   static constexpr Duration kRetransmissionTimeout = milliseconds(200);
@@ -103,7 +111,7 @@
 
   struct Flow {
     MonotonicTime started_at;
-    /** Packets forwarded, the opening included. */
+    /** Number of packets forwarded, the opening included. */
     int forwarded_count = 0;
     /** When each was forwarded. */
     std::array<MonotonicTime, kFollowingPackets + 1> at{};
@@ -111,7 +119,7 @@
 
   void generateArrivals() {
     const std::array<Duration, 3> offsets{Duration(), milliseconds(200), milliseconds(600)};
-    // Callers that began while the node was away send their copies now.
+    // Clients that started before the node was available send their retransmissions now.
     MonotonicTime at =
         MonotonicTime() - (load_.first_view_delay > Duration() ? kClientTimeout : Duration());
     for (std::uint64_t flow = 1; at < MonotonicTime() + load_.duration; ++flow) {
@@ -129,7 +137,9 @@
     return Duration(static_cast<std::int64_t>(2 * random_->unit() * 1e6 / rate));
   }
 
-  /** Takes in what has come by now; what the caller need not send any more is not sent. */
+  /**
+   * Receives the packets that have arrived by now; omits those that the client need no longer send.
+   */
   void receiveArrivals() {
     while (!arrivals_.empty() && arrivals_.top().at <= now_) {
       const Packet packet = arrivals_.top();
@@ -156,7 +166,7 @@
     packet.number > 0 ? forward(packet) : place(packet.flow);
   }
 
-  /** The socket is read each 50 ms until the first view is there. */
+  /** Reads the socket every 50 ms until the first view is available. */
   void readBeforeFirstView() {
     const MonotonicTime view_at = now_;
     for (now_ = MonotonicTime(); now_ < view_at; now_ += milliseconds(50)) {
--- a/tests/load/ingress_replay_test.cc
+++ b/tests/load/ingress_replay_test.cc
@@ -5,9 +5,9 @@
 namespace lugfork {
 namespace {
 
-/** Flows a second that a node with 0.038 of a core can just not serve. */
+/** Flow rate that just exceeds the capacity of a node with 0.038 of a core [1/s]. */
 constexpr double kCapacityPerSecond = 190;
-/** What 4 MiB hold of small datagrams. */
+/** Number of small datagrams that 4 MiB hold. */
 constexpr std::size_t kLargeSocketDatagrams = 5400;
 /** Time from a node's start to its first view. */
 constexpr Duration kFirstViewDelay = milliseconds(450);
@@ -25,20 +25,20 @@
   return IngressReplay(load).run();
 }
 
-/** @return share of all flows that were served in time. */
+/** @return fraction of all flows that were served in time. */
 double inTimeFraction(const IngressResult& result) {
   return static_cast<double>(result.in_time_count) /
          (result.in_time_count + result.late_count + result.never_count);
 }
 
-TEST_CASE("a node that keeps up serves all flows in time", "[ingress_replay]") {
+TEST_CASE("node below its capacity serves all flows in time", "[ingress_replay]") {
   IngressResult open_flows_first = IngressReplay(makeLoad(0.9)).run();
   CHECK(inTimeFraction(open_flows_first) == 1);
   CHECK(open_flows_first.useless_placements == 0);
   CHECK(open_flows_first.openFlowDelay(990) < milliseconds(50));
 }
 
-TEST_CASE("a node with half more than it can serve serves what it can in time",
+TEST_CASE("node at 150% of its capacity serves a large part of the flows in time",
           "[ingress_replay]") {
   const IngressLoad load = makeLoad(1.5);
   IngressResult open_flows_first = IngressReplay(load).run();
@@ -48,20 +48,21 @@
   CHECK(open_flows_first.useless_placements == 0);
   CHECK(open_flows_first.lost_count == 0);
   CHECK(open_flows_first.openFlowDelay(990) < milliseconds(100));
-  // In the order of arrival all that is handled is old, and part of it in vain.
+  // In the order of arrival all packets are handled late, and some placements are useless.
   CHECK(inTimeFraction(small_socket) < 0.1);
   CHECK(small_socket.openFlowDelay(500) > milliseconds(300));
   CHECK(inTimeFraction(large_socket) < 0.1);
   CHECK(large_socket.openFlowDelay(500) > seconds(1));
 }
 
-TEST_CASE("three times its capacity costs a node little of what it serves", "[ingress_replay]") {
+TEST_CASE("node at 300% of its capacity serves nearly as many flows in time as at 100%",
+          "[ingress_replay]") {
   const IngressResult full = IngressReplay(makeLoad(1.0)).run();
   const IngressResult overloaded = IngressReplay(makeLoad(3.0)).run();
   CHECK(overloaded.in_time_count > 0.85 * full.in_time_count);
 }
 
-TEST_CASE("after an outage callers who can still be served in time come first",
+TEST_CASE("after an outage clients that can still be served in time are served first",
           "[ingress_replay]") {
   const IngressLoad load = makeLoad(0.9, kFirstViewDelay);
   const IngressResult open_flows_first = IngressReplay(load).run();
@@ -71,7 +72,7 @@
   CHECK(inTimeFraction(runInArrivalOrder(load, kLargeSocketDatagrams)) < 0.1);
 }
 
-TEST_CASE("figures of the ways to read", "[.][ingress_figures]") {
+TEST_CASE("figures of the orders of serving", "[.][ingress_figures]") {
   for (const double load_ratio : {0.5, 0.9, 1.05, 1.5, 3.0}) {
     for (const Duration first_view_delay : {Duration(), kFirstViewDelay}) {
       const IngressLoad load = makeLoad(load_ratio, first_view_delay);
@@ -80,8 +81,9 @@
             runInArrivalOrder(load, load.socket_capacity), IngressReplay(load).run()}) {
         WARN(load_ratio << " " << toMilliseconds(first_view_delay) << " ms: in time "
                         << result.in_time_count << ", late " << result.late_count << ", never "
-                        << result.never_count << ", in vain " << result.useless_placements
-                        << "; open flows wait " << toMilliseconds(result.openFlowDelay(500)) << "/"
+                        << result.never_count << ", useless placements "
+                        << result.useless_placements << "; open flows wait "
+                        << toMilliseconds(result.openFlowDelay(500)) << "/"
                         << toMilliseconds(result.openFlowDelay(990)) << " ms");
       }
     }
--- a/tests/load/load_control_test.cc
+++ b/tests/load/load_control_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Keeps the times and fields of admission_changed. */
+/** Records the times and fields of admission_changed. */
 struct AdmissionLog : EventLog {
   explicit AdmissionLog(const TimeSource& source) : clock(source) {}
   void write(LogLevel, std::string_view component, std::string_view event,
@@ -31,7 +31,7 @@
 }  // namespace
 
 TEST_CASE(
-    "At 129% of the slots urgent requests are served in time and the rest gets what is left") {
+    "at 129% of the slots urgent requests are served in time and others get the remaining slots") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 1.29);
@@ -45,7 +45,7 @@
   CHECK(outcome.max_level - outcome.min_level < 0.25);
 }
 
-TEST_CASE("An overload that stands since the balancers' start is seen by requests in flight") {
+TEST_CASE("in_flight policy detects an overload that began before the balancers started") {
   AdmissionReplay replay({"in_flight"});
   replay.run(seconds(10), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
@@ -53,7 +53,8 @@
   CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
-TEST_CASE("Answers told late don't count where others are told at once") {
+TEST_CASE(
+    "late acknowledgements of responses don't count while other clients acknowledge promptly") {
   LoadClock clock;
   NullEventLog log;
   LoadControl control(LoadControlSettings(), clock, log);
@@ -65,7 +66,7 @@
   }
   CHECK(control.load(ServiceId(1)).response_time > milliseconds(19));
   CHECK(control.load(ServiceId(1)).response_time < milliseconds(21));
-  // Once nobody tells at once any more, what is left counts.
+  // Once no client acknowledges promptly any more, the late ones count.
   clock.elapsed += seconds(6);
   for (int i = 0; i < 100; ++i) {
     clock.elapsed += milliseconds(10);
@@ -74,10 +75,10 @@
   CHECK(control.load(ServiceId(1)).response_time > milliseconds(50));
 }
 
-TEST_CASE("Below the slots next to nothing is rejected") {
+TEST_CASE("at most 1% is rejected while demand is below the slots") {
   const char* mode = GENERATE("in_flight", "response_time", "share");
   const Duration work = GENERATE(milliseconds(17), milliseconds(700));
-  // With 290 balancers each sees 6 requests a second of 17 ms.
+  // With 290 balancers each one receives 6 requests of 17 ms per second.
   const std::uint32_t balancers = GENERATE(3U, 20U, 290U);
   AdmissionReplay replay({mode, {work}, 5 * work, balancers});
   replay.run(seconds(20), 0.5);
@@ -87,7 +88,7 @@
   CHECK(outcome.weightedInTimeFraction() > 0.98);
 }
 
-TEST_CASE("Twice the slots are filled with urgent requests") {
+TEST_CASE("at 200% of the slots urgent requests are served in time") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 2);
@@ -96,7 +97,7 @@
   CHECK(outcome.backendRejectionFraction() < 0.02);
 }
 
-TEST_CASE("Slow work is admitted by response times where a balancer sees enough of it") {
+TEST_CASE("response_time policy limits slow work if a balancer receives enough of it") {
   AdmissionReplay replay({"response_time", {milliseconds(700)}, seconds(3), 10});
   replay.run(seconds(20), 0.5);
   replay.run(seconds(20), 1.29);
@@ -105,7 +106,7 @@
   CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
-TEST_CASE("One class alone shares the slots") {
+TEST_CASE("a single class fills the slots") {
   ReplaySettings settings;
   settings.mode = GENERATE("in_flight", "response_time", "share");
   settings.urgent_fraction = 0;
@@ -117,7 +118,7 @@
   CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
-TEST_CASE("After a burst of six times all levels fall to zero within two seconds") {
+TEST_CASE("after a sixfold burst all levels fall to zero within two seconds") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   const ReplayOutcome burst = replay.run(seconds(6), 3);
@@ -128,7 +129,7 @@
   CHECK(after.weightedInTimeFraction() > 0.99);
 }
 
-TEST_CASE("Balancers that start amid an overload don't turn urgent requests away") {
+TEST_CASE("balancers that start during an overload keep serving urgent requests in time") {
   AdmissionReplay replay({"response_time"});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(10), 1.29);
@@ -140,7 +141,7 @@
   CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
-TEST_CASE("An overload of minutes stays admitted like one of seconds") {
+TEST_CASE("an overload of minutes is limited like one of seconds") {
   AdmissionReplay replay({"response_time"});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(240), 1.29);
@@ -150,7 +151,7 @@
   CHECK(outcome.requestsPerSlot() < 2.6);
 }
 
-TEST_CASE("Off admits all and counts by priority; modes are told by name") {
+TEST_CASE("mode off admits all flows and counts them by priority; modes are recognized by name") {
   AdmissionReplay replay({"off"});
   CHECK(replay.run(seconds(5), 2).rejection_count == 0);
   const auto counters = replay.balancer(0).counters(ServiceId(1));
@@ -163,7 +164,7 @@
   CHECK_FALSE(LoadControl::isMode("guess"));
 }
 
-TEST_CASE("Changes of a level are logged at most once a second") {
+TEST_CASE("changes of the admission level are logged at most once per second") {
   LoadClock clock;
   AdmissionLog log(clock);
   LoadControlSettings settings;
--- a/tests/load/load_fixture.h
+++ b/tests/load/load_fixture.h
@@ -8,7 +8,7 @@
 #include "common/random_generator.h"
 #include "common/time_source.h"
 
-/** Parts that the tests of load share: a clock and a server with slots and a queue. */
+/** Shared parts of the load tests: a clock, and a backend with slots and a queue. */
 namespace lugfork {
 
 struct LoadClock : TimeSource {
@@ -17,7 +17,7 @@
   SystemTime systemTime() const override { return SystemTime(elapsed); }
 };
 
-/** Server with two slots and a queue of eight. */
+/** Backend with two slots and a queue of eight. */
 class SimulatedBackend {
  public:
   static constexpr std::size_t kMaxRequests = 10;
@@ -27,7 +27,7 @@
     return completion_times_.size() >= kMaxRequests;
   }
 
-  /** @return when the request is answered. */
+  /** @return when the request is completed. */
   MonotonicTime serve(MonotonicTime now, Duration work) {
     auto& slot = *std::min_element(slots_free_at_.begin(), slots_free_at_.end());
     slot = std::max(slot, now) + work;
--- a/tests/load/opening_backlog_test.cc
+++ b/tests/load/opening_backlog_test.cc
@@ -35,7 +35,7 @@
   OpeningBacklog backlog;
 };
 
-TEST_CASE("openings are served in their order, and those begun last first once one waits for long",
+TEST_CASE("openings are served in order, but most recently started first once one waits 100 ms",
           "[opening_backlog]") {
   OpeningHarness harness;
   for (std::uint64_t flow = 1; flow <= 4; ++flow) {
@@ -49,18 +49,19 @@
   harness.now += milliseconds(2);
   CHECK(harness.take() == 4);
   CHECK(harness.take() == 3);
-  // Its caller began 200 ms before the others.
+  // Its client started 200 ms before the others.
   CHECK(harness.take() == 5);
   CHECK(harness.take() == 0);
   CHECK(harness.backlog.isEmpty());
 }
 
-TEST_CASE("an opening whose caller has sent a copy or gone is not served", "[opening_backlog]") {
+TEST_CASE("an opening is not served after its client has retransmitted it or given up",
+          "[opening_backlog]") {
   OpeningHarness harness;
   harness.add(1, 0);
   harness.add(2, 1);
   harness.add(3, 2);
-  SECTION("the next copy of the first comes after 200 ms") {
+  SECTION("the first retransmission is due after 200 ms") {
     harness.now += milliseconds(199);
     CHECK(harness.take() == 1);
     CHECK(harness.take() == 2);
@@ -69,19 +70,19 @@
     harness.now += milliseconds(200);
     CHECK(harness.take() == 0);
   }
-  SECTION("the second copy comes 400 ms after the first copy") {
+  SECTION("the second retransmission is due 400 ms after the first") {
     harness.now += milliseconds(400);
     CHECK(harness.take() == 3);
     CHECK(harness.backlog.counters().expired == 2);
   }
-  SECTION("nobody waits 800 ms after the second copy") {
+  SECTION("the client gives up 800 ms after the second retransmission") {
     harness.now += milliseconds(800);
     CHECK(harness.take() == 0);
     CHECK(harness.backlog.counters().expired == 3);
   }
 }
 
-TEST_CASE("a copy joins the opening that waits", "[opening_backlog]") {
+TEST_CASE("a retransmission is merged into the queued opening", "[opening_backlog]") {
   OpeningHarness harness;
   harness.add(1, 0);
   harness.add(2, 0);
@@ -89,14 +90,14 @@
   harness.add(1, 1);
   CHECK(harness.backlog.size() == 2);
   harness.now += milliseconds(390);
-  SECTION("it stays useful, and no server was asked yet") {
+  SECTION("it stays useful, and no backend was asked yet") {
     const auto taken = harness.backlog.take(harness.now);
     REQUIRE(taken);
     CHECK(taken->flow.low == 1);
     CHECK(taken->bytes == std::vector<std::uint8_t>{0});
     CHECK(taken->hasAllTransmissions());
   }
-  SECTION("where a copy between went elsewhere, a server may have been asked") {
+  SECTION("if another node received a transmission, a backend may have been asked") {
     OpeningHarness other;
     other.add(1, 0);
     other.add(1, 2);
@@ -107,7 +108,7 @@
   }
 }
 
-TEST_CASE("a copy that was sent before an answer could be there is no second opening",
+TEST_CASE("a retransmission sent before a response could arrive is not served again",
           "[opening_backlog]") {
   OpeningHarness harness;
   harness.add(1, 0);
@@ -115,18 +116,18 @@
   harness.now += milliseconds(49);
   harness.add(1, 1);
   CHECK(harness.take() == 0);
-  SECTION("one that comes later is") {
+  SECTION("a later retransmission is served") {
     harness.now += milliseconds(1);
     harness.add(1, 1);
     CHECK(harness.take() == 1);
   }
-  SECTION("a new opening from the same port is") {
+  SECTION("a new opening from the same port is served") {
     harness.add(1, 0);
     CHECK(harness.take() == 1);
   }
 }
 
-TEST_CASE("an opening that waited for over 100 ms may be open through another node",
+TEST_CASE("an opening queued for over 100 ms may be open through another node",
           "[opening_backlog]") {
   OpeningHarness harness;
   harness.add(1);
@@ -136,7 +137,7 @@
   CHECK(harness.backlog.mayBeOpen(*taken, harness.now + milliseconds(101)));
 }
 
-TEST_CASE("a flow that its caller gives up is not opened", "[opening_backlog]") {
+TEST_CASE("a flow that its client aborts is not opened", "[opening_backlog]") {
   OpeningHarness harness;
   harness.add(1);
   harness.add(2);
@@ -146,7 +147,7 @@
   CHECK(harness.backlog.counters().abandoned == 1);
 }
 
-TEST_CASE("the backlog is bounded, and the oldest make room", "[opening_backlog]") {
+TEST_CASE("the backlog is bounded and evicts the oldest openings", "[opening_backlog]") {
   OpeningHarness harness;
   for (std::uint64_t flow = 1; flow <= 600; ++flow) {
     harness.add(flow);
@@ -156,28 +157,28 @@
   CHECK(harness.take() == 89);
 }
 
-TEST_CASE("only what surely no server got is rejected", "[opening_backlog]") {
+TEST_CASE("only openings that no backend can have received are rejected", "[opening_backlog]") {
   OpeningHarness harness(true);
-  SECTION("nothing at all where rejections are off") {
+  SECTION("nothing is rejected if rejections are off") {
     OpeningHarness other;
     other.add(1);
     other.now += milliseconds(60);
     CHECK_FALSE(other.backlog.takeForRejection(other.now));
   }
-  SECTION("a first opening between 50 and 100 ms") {
+  SECTION("a first transmission is rejected between 50 and 100 ms") {
     harness.add(1);
     harness.now += milliseconds(49);
     CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
     harness.now += milliseconds(1);
     CHECK(harness.backlog.takeForRejection(harness.now).has_value());
   }
-  SECTION("not one that may have come more than 100 ms ago") {
+  SECTION("an opening that may have arrived more than 100 ms ago is not rejected") {
     harness.add(1);
     harness.now += milliseconds(91);
     CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
     CHECK(harness.take() == 1);
   }
-  SECTION("no copy") {
+  SECTION("a retransmission is not rejected") {
     harness.add(1, 1);
     harness.now += milliseconds(60);
     CHECK_FALSE(harness.backlog.takeForRejection(harness.now));
--- a/tests/load/receive_backlog_test.cc
+++ b/tests/load/receive_backlog_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 struct BacklogHarness {
-  /** Reads a batch each that many milliseconds, for that long. */
+  /** Reads a batch in each step for the given duration. */
   void read(Duration span, Duration step, std::size_t datagrams, bool is_empty) {
     for (Duration elapsed{}; elapsed < span; elapsed += step) {
       now += step;
@@ -18,19 +18,19 @@
   ReceiveBacklog backlog{ReceiveBacklogSettings(), now};
 };
 
-TEST_CASE("a socket that is found empty again and again is caught up", "[receive_backlog]") {
+TEST_CASE("a socket that is repeatedly found empty is not behind", "[receive_backlog]") {
   BacklogHarness harness;
   harness.read(seconds(1), milliseconds(20), 5, true);
   CHECK_FALSE(harness.backlog.isBehind());
   CHECK(harness.backlog.queuedFor(harness.now) == Duration::zero());
-  SECTION("also with a burst that is over before callers send copies") {
+  SECTION("a burst shorter than 100 ms does not put it behind") {
     harness.read(milliseconds(90), milliseconds(10), 32, false);
     CHECK_FALSE(harness.backlog.isBehind());
     harness.read(milliseconds(10), milliseconds(10), 10, true);
     CHECK_FALSE(harness.backlog.isBehind());
     CHECK_FALSE(harness.backlog.evidenceIsStale(harness.now));
   }
-  SECTION("also after a silence") {
+  SECTION("a period without datagrams does not put it behind") {
     harness.now += seconds(60);
     harness.read(milliseconds(10), milliseconds(10), 1, false);
     CHECK_FALSE(harness.backlog.isBehind());
@@ -38,7 +38,8 @@
   }
 }
 
-TEST_CASE("a socket that is not empty for 100 ms is behind until it is", "[receive_backlog]") {
+TEST_CASE("a socket that is not empty for 100 ms is behind until it is empty",
+          "[receive_backlog]") {
   BacklogHarness harness;
   harness.read(milliseconds(110), milliseconds(10), 32, false);
   CHECK(harness.backlog.isBehind());
@@ -50,12 +51,13 @@
   CHECK(harness.backlog.evidenceIsStale(harness.now));
   harness.read(milliseconds(10), milliseconds(10), 3, true);
   CHECK_FALSE(harness.backlog.isBehind());
-  // What callers repeat now was sent while this node was behind.
+  // Retransmissions that arrive now were sent while this node was behind.
   CHECK(harness.backlog.evidenceIsStale(harness.now + milliseconds(199)));
   CHECK_FALSE(harness.backlog.evidenceIsStale(harness.now + milliseconds(200)));
 }
 
-TEST_CASE("a datagram came after the socket was last empty", "[receive_backlog]") {
+TEST_CASE("the time when the socket was last empty bounds the arrival of a datagram",
+          "[receive_backlog]") {
   BacklogHarness harness;
   harness.read(milliseconds(10), milliseconds(10), 1, true);
   const MonotonicTime empty_at = harness.now;
@@ -65,14 +67,14 @@
   CHECK(harness.backlog.queuedSince(harness.now) == empty_at + milliseconds(10));
   harness.read(milliseconds(10), milliseconds(10), 1, true);
   CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
-  // A single datagram after a pause shows nothing of what came behind it.
+  // A single datagram after a pause does not show whether more arrived after it.
   harness.now += milliseconds(10);
   harness.backlog.onBatch({1, true, false}, harness.now);
   CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
   CHECK(harness.backlog.queuedSince(harness.now) == harness.now);
 }
 
-TEST_CASE("after packets that waited for a first view evidence is stale for a while",
+TEST_CASE("evidence is stale for 200 ms after packets waited for the first view",
           "[receive_backlog]") {
   BacklogHarness harness;
   CHECK_FALSE(harness.backlog.evidenceIsStale(harness.now));
@@ -81,24 +83,23 @@
   CHECK_FALSE(harness.backlog.evidenceIsStale(harness.now + milliseconds(200)));
 }
 
-TEST_CASE("the socket holds what is handled in 250 ms", "[receive_backlog]") {
+TEST_CASE("the socket's capacity is what the node handles in 250 ms", "[receive_backlog]") {
   BacklogHarness harness;
-  SECTION("a weak node") {
+  SECTION("a node with little CPU") {
     harness.read(seconds(1), milliseconds(10), 14, false);
     CHECK(harness.backlog.socketDatagrams() == 350);
   }
-  SECTION("a node with a whole core is bounded") {
+  SECTION("the capacity of a node with a whole core is bounded") {
     harness.read(seconds(1), milliseconds(1), 100, false);
     CHECK(harness.backlog.socketDatagrams() == 8192);
   }
-  SECTION("a node that hardly runs keeps room for a burst") {
+  SECTION("a node that hardly runs keeps capacity for a burst") {
     harness.read(seconds(1), milliseconds(50), 2, false);
     CHECK(harness.backlog.socketDatagrams() == 256);
   }
 }
 
-TEST_CASE("a process that stood still is recognised, and its rate is not learned",
-          "[receive_backlog]") {
+TEST_CASE("a pause of the process is detected, and its rate is not used", "[receive_backlog]") {
   BacklogHarness harness;
   harness.read(milliseconds(40), milliseconds(10), 32, false);
   harness.now += seconds(2);
--- a/tests/load/service_load_test.cc
+++ b/tests/load/service_load_test.cc
@@ -14,12 +14,14 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/** Servers behind one balancer, to which requests come at random. */
+/** Backends behind one balancer, with requests at random times. */
 class EstimatorHarness {
  public:
   static constexpr std::size_t kBackendCount = 10;
 
-  /** @param share of the slots that requests fill, with work of half and of one and a half times.
+  /**
+   * @param load_ratio requested work relative to the slots;
+   * @param work mean work of a request, which varies from half to one and a half times that.
    */
   void run(Duration time, double load_ratio, Duration work) {
     const MonotonicTime end = clock.monotonicTime() + time;
@@ -73,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("Rate, service time and requests in flight follow from packets at an easy load") {
+TEST_CASE("request rate, service time and requests in flight are estimated at a low load") {
   const Duration work = GENERATE(milliseconds(17), milliseconds(700));
   EstimatorHarness harness;
   harness.run(seconds(20), 0.4, work);
@@ -86,7 +88,7 @@
   }
 }
 
-TEST_CASE("The queue of an overload shows within a second, and its end as well") {
+TEST_CASE("the queue of an overload is detected within a second, and its end within two") {
   EstimatorHarness harness;
   harness.run(seconds(5), 0.5, milliseconds(60));
   harness.run(seconds(1), 2, milliseconds(60));
@@ -95,7 +97,7 @@
   CHECK(harness.load().requestsPerBusySlot() < 1.6);
 }
 
-TEST_CASE("The service time stays through an overload as long as the memory") {
+TEST_CASE("the service time estimate is stable through an overload of up to its window") {
   const Duration work = GENERATE(milliseconds(17), milliseconds(60), milliseconds(700));
   const double overload = GENERATE(1.3, 2.0, 6.0);
   EstimatorHarness harness;
@@ -105,14 +107,14 @@
   CHECK(inMilliseconds(harness.load().service_time) == Approx(inMilliseconds(work)).epsilon(0.4));
 }
 
-TEST_CASE("A queue that stands for minutes near the limit isn't taken for work") {
+TEST_CASE("a queue that stands for minutes near the limit does not raise the service time") {
   EstimatorHarness harness;
   harness.run(seconds(5), 0.5, milliseconds(60));
   harness.run(seconds(120), 0.95, milliseconds(60));
   CHECK(inMilliseconds(harness.load().service_time) < 100);
 }
 
-TEST_CASE("A real change of work is followed once the memory has passed") {
+TEST_CASE("the service time follows a change of work once its window has passed") {
   const Duration before = GENERATE(milliseconds(20), milliseconds(700));
   const Duration after = before == milliseconds(20) ? milliseconds(80) : milliseconds(30);
   EstimatorHarness harness;
@@ -121,7 +123,7 @@
   CHECK(inMilliseconds(harness.load().service_time) == Approx(inMilliseconds(after)).epsilon(0.4));
 }
 
-TEST_CASE("A few tiny answers don't count as work") {
+TEST_CASE("a few very short responses don't count as work") {
   EstimatorHarness harness;
   EstimatorHarness without;
   for (int second = 0; second < 10; ++second) {
@@ -136,7 +138,7 @@
   CHECK(harness.load().response_time == without.load().response_time);
 }
 
-TEST_CASE("Too few answers say nothing, and no service is remembered that isn't declared") {
+TEST_CASE("too few responses give no estimate, and services that are not configured are removed") {
   EstimatorHarness harness;
   CHECK(harness.load().requestsPerBusySlot() == 0);
   CHECK(harness.load().in_flight == 0);
--- a/tests/load/zone_demand_test.cc
+++ b/tests/load/zone_demand_test.cc
@@ -12,9 +12,9 @@
 
 constexpr ServiceId kFeed{1};
 
-/** One balancer of a zone of twenty, before servers whose work takes 25 ms. */
+/** One balancer of a zone of twenty, with backends whose work takes 25 ms. */
 struct DemandHarness {
-  /** Lets steps pass at a rate of this balancer. */
+  /** Advances the time by steps of 200 ms with requests at that rate at this balancer. */
   void advance(int steps, double requests_per_second) {
     for (int step = 0; step < steps; ++step) {
       for (int millisecond = 0; millisecond < 200; ++millisecond) {
@@ -47,18 +47,18 @@
   double max_busy_slots = 0;
 };
 
-TEST_CASE("the busy slots of a zone are its requests times their service time", "[load]") {
+TEST_CASE("the busy slots of a zone are its request rate times the service time", "[load]") {
   DemandHarness harness;
   harness.advance(100, 40);
   harness.resetRange();
   harness.advance(200, 40);
-  // 40 a second at each of 20 balancers, of 25 ms.
+  // 40 requests per second at each of 20 balancers, 25 ms each.
   CHECK(harness.min_busy_slots > 0.85 * 20);
   CHECK(harness.max_busy_slots < 1.15 * 20);
   CHECK(harness.demand.demand(kFeed).busy_slots == harness.update());
 }
 
-TEST_CASE("a demand is told only once enough requests were seen", "[load]") {
+TEST_CASE("the demand is known only after enough requests", "[load]") {
   DemandHarness harness;
   harness.advance(1, 10);
   CHECK(harness.demand.demand(kFeed).busy_slots == 0);
@@ -68,12 +68,12 @@
   DemandHarness quiet;
   quiet.advance(300, 0.2);
   CHECK(quiet.max_busy_slots == 0);
-  // Callers that have left say nothing of the next ones.
+  // Clients that have left give no information about later ones.
   harness.advance(300, 0);
   CHECK(harness.demand.demand(kFeed).busy_slots == 0);
 }
 
-TEST_CASE("nothing is told without a service time", "[load]") {
+TEST_CASE("the demand is unknown without a service time", "[load]") {
   DemandHarness harness;
   for (int step = 0; step < 50; ++step) {
     harness.demand.onRequest(kFeed);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("three times the callers show within a second, also at a balancer of few", "[load]") {
+TEST_CASE("a threefold rise is detected within a second, also with few requests", "[load]") {
   for (const double requests_per_second : {12.0, 40.0, 400.0}) {
     INFO(requests_per_second << " requests a second");
     DemandHarness harness;
@@ -93,13 +93,13 @@
     CHECK(harness.demand.demand(kFeed).busy_slots > 1.9 * before);
     harness.advance(10, 3 * requests_per_second);
     CHECK(harness.demand.demand(kFeed).busy_slots == Approx(3 * before).epsilon(0.3));
-    // And their end too.
+    // The end of the rise is detected as well.
     harness.advance(15, requests_per_second);
     CHECK(harness.demand.demand(kFeed).busy_slots < 1.6 * before);
   }
 }
 
-TEST_CASE("the demand is right on the mean, also where a request comes in a second", "[load]") {
+TEST_CASE("the mean of the demand is right, also at one or two requests per second", "[load]") {
   for (const double requests_per_second : {1.5, 5.0, 40.0}) {
     INFO(requests_per_second << " requests a second");
     DemandHarness harness;
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("where it is not told which balancers are of the own zone, they are an even part",
+TEST_CASE("without the number of balancers in the local zone an even distribution is assumed",
           "[load]") {
   CHECK(ZoneBalancers{25, 76, 3}.inLocalZone() == 25);
   CHECK(ZoneBalancers{0, 76, 4}.inLocalZone() == 19);
@@ -128,7 +128,7 @@
   CHECK(ZoneBalancers{0, 0, 0}.inLocalZone() == 1);
 }
 
-TEST_CASE("services that are not known any more are forgotten", "[load]") {
+TEST_CASE("services that are no longer configured are removed", "[load]") {
   DemandHarness harness;
   harness.advance(50, 40);
   Configuration configuration = twoServices();
