--- a/src/balancer/control_work_meter.cc
+++ b/src/balancer/control_work_meter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Processor time from which a slice is logged: packets have to wait for so long, or longer. */
+/** Minimum CPU time of a slice that is logged: packets wait at least as long. */
 constexpr Duration kMinLoggedSlice = milliseconds(5);
 
 }  // namespace
--- a/src/balancer/control_work_meter.h
+++ b/src/balancer/control_work_meter.h
@@ -7,11 +7,11 @@
 
 namespace lugfork {
 
-/** Kinds of work beside the data path that grow with the items read and changed. */
+/** Kinds of work outside the data path whose cost grows with the items that are read or changed. */
 enum class ControlWork : std::uint8_t {
-  /** Items are read and noted: a first view, or changes. */
+  /** Decoding and registering items: a first view, or changes. */
   Items,
-  /** The configuration in force is brought up to date. */
+  /** Updating the configuration in force. */
   Configuration,
   Last = Configuration,
 };
@@ -21,19 +21,19 @@
 /** Stable name of a kind, for logs and metrics. */
 const char* toString(ControlWork work);
 
-/** What one kind of work has cost. */
+/** Accumulated cost of one kind of work. */
 struct ControlWorkCost {
   std::uint64_t slices = 0;
-  /** Items, or back ends and routes. */
+  /** Items, or backends and routes. */
   std::uint64_t units = 0;
-  /** Processor time of all slices, and of the longest. */
+  /** CPU time of all slices, and of the longest one. */
   Duration cpu_time{};
   Duration max_slice{};
 };
 
 /**
- * Measures slices of control work: while one lasts, packets and readiness wait. A long one is
- * logged, since it is then the cause of what comes late.
+ * Measures slices of control work. During a slice neither packets nor readiness checks are handled,
+ * so a long one is logged as a possible cause of delays.
  */
 class ControlWorkMeter {
  public:
@@ -42,7 +42,10 @@
   /** Sets the clock; without one only slices and units are counted. */
   void setClock(const ProcessorClock& clock) { clock_ = &clock; }
 
-  /** Does one slice of work. @param work returns the units that it consisted of. */
+  /**
+   * Runs and measures one slice of work.
+   * @param work returns the number of units that it processed.
+   */
   template <typename Work>
   void measure(ControlWork kind, Work work) {
     const Duration before = cpuTimeUsed();
@@ -56,7 +59,7 @@
 
  private:
   Duration cpuTimeUsed() const { return clock_ == nullptr ? Duration::zero() : clock_->used(); }
-  /** Adds one slice to the costs, and logs a long one. */
+  /** Adds one slice to the costs, and logs it if it was long. */
   void record(ControlWork kind, std::uint64_t units, Duration cpu_time);
 
   EventLog& log_;
--- a/src/balancer/machine_list.cc
+++ b/src/balancer/machine_list.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-/** @return the field as text; empty where it is missing or no string. */
+/** @return the text of the field; empty if it is missing or not a string. */
 std::string textField(const json& object, const char* name) {
   const auto found = object.find(name);
   return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
--- a/src/balancer/machine_list.h
+++ b/src/balancer/machine_list.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** One balancer as the platform's lagging list knows it. */
+/** A balancer as listed by the platform, whose list lags behind. */
 struct Machine {
   std::string name;
   std::string zone;
@@ -21,7 +21,10 @@
   bool leaving = false;
 };
 
-/** Reads the platform's machine list from JSON. @return the machines, or what is wrong. */
+/**
+ * Parses the platform's machine list from JSON.
+ * @return the machines, or an error description.
+ */
 Result<std::vector<Machine>, std::string> parseMachineList(const std::string& json_text);
 
 }  // namespace lugfork
--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -7,30 +7,35 @@
 
 namespace {
 
-/** Up to this many members every report goes to every node. */
+/** Maximum number of live members at which every report is sent to every node. */
 constexpr std::size_t kMaxSmallFleetSize = 32;
-/** Most bytes of load in one message. */
+/** Maximum size of the load reports in one message [bytes]. */
 constexpr std::size_t kMaxLoadBytes = 1000;
-/** Bytes of changes of state that any gossip may carry, also on an overdrawn budget. */
+/**
+ * Size reserved in any gossip message for state changes, also if the budget is exhausted [bytes].
+ */
 constexpr std::size_t kStateBytes = 4 * LoadSpread::kObservationBytes;
-/** Most bytes of rumours about members in one message, and what it has on an overdrawn budget. */
+/**
+ * Maximum size of membership updates in one message, and the minimum if the budget is exhausted
+ * [bytes].
+ */
 constexpr std::size_t kMaxMemberUpdateBytes = 400;
 constexpr std::size_t kMinMemberUpdateBytes = 100;
-/** Encoded size of a gossip header without its lists. */
+/** Encoded size of a gossip header without its lists [bytes]. */
 constexpr std::size_t kHeaderBytes = 80;
-/** Encoded size of a member record, names included. */
+/** Encoded size of a member record, names included [bytes]. */
 constexpr std::size_t kMemberBytes = 48;
-/** Members pinged at once when the view needs a confirmation. */
+/** Number of members that are pinged at once when the view needs a confirmation. */
 constexpr std::size_t kConfirmationPeerCount = 3;
 constexpr Duration kConfirmationInterval = milliseconds(500);
-/** Shortest time between two computations of the probe assignment. */
+/** Minimum interval between two computations of the probe assignment. */
 constexpr Duration kAssignmentInterval = seconds(1);
-/** Anti-entropy of the states of back ends: for a node that joined or missed the gossip. */
+/** Anti-entropy interval of the backend states, for a node that has joined or missed gossip. */
 constexpr Duration kObservationsRequestInterval = seconds(60);
 constexpr std::uint32_t kMaxObservations = 1000;
-/** Shortest time between two reads of the platform that tokens prompt. */
+/** Minimum interval between two reads of the platform that are prompted by tokens. */
 constexpr Duration kTokenPromptedReadInterval = seconds(10);
-/** A read of the platform without an answer for this long is given up. */
+/** A read of the platform is considered failed after this time without an answer. */
 constexpr Duration kPlatformReadTimeout = seconds(10);
 
 MemberRecord recordOf(const NodeSettings& settings, const TimeSource& time_source) {
@@ -82,7 +87,7 @@
     adoptPlatformDocument(json_text);
     return;
   }
-  // A replica of the platform may be stale: peers that know better are heard first.
+  // A replica of the platform may be stale, so peers that may have a newer version are asked first.
   const auto parsed = parseConfigurationDocument(json_text);
   initial_document_ = json_text;
   initial_document_version_ = parsed ? parsed.value().version : ConfigVersion();
@@ -174,7 +179,7 @@
   if (!peers.empty()) {
     configuration_.request(peers.front().peer_address);
   }
-  // Anybody can send a token with an unknown key: the platform is not read for each of them.
+  // Anyone can send a token with an unknown key, so not every one causes a read of the platform.
   const MonotonicTime now = time_source_.monotonicTime();
   if (now >= next_token_prompted_read_at_) {
     next_token_prompted_read_at_ = now + kTokenPromptedReadInterval;
@@ -323,7 +328,7 @@
   GossipHeader gossip;
   gossip.sender = membership_.self();
   gossip.configuration = store_.id();
-  // Changes of state always have room, then rumours about members, then load.
+  // State changes always have room, then membership updates, then load reports.
   gossip.observations = load_spread_.take(ObservationScope::StateChanges, kStateBytes, audience());
   const std::size_t member_update_budget = std::min(kMaxMemberUpdateBytes, remainingBudget(gossip));
   gossip.members =
--- a/src/balancer/node.h
+++ b/src/balancer/node.h
@@ -19,32 +19,32 @@
 
 namespace lugfork {
 
-/** What the node asks its surroundings to do. */
+/** Actions that a Node requests from its environment. */
 class NodeOutputs : public DatagramSender {
  public:
   virtual void sendPeerMessage(Endpoint peer, const PeerMessage& message) = 0;
 
-  /** Asks for a read of the platform's configuration; the answer is onPlatformConfiguration. */
+  /** Reads the platform's configuration; the result is passed to onPlatformConfiguration. */
   virtual void readPlatformConfiguration() = 0;
 
-  /** Asks for a read of the platform's machine list; the answer is onPlatformMachines. */
+  /** Reads the platform's machine list; the result is passed to onPlatformMachines. */
   virtual void readPlatformMachines() = 0;
 
-  /** Asks for a health and load probe; the answer is onBackendReport. */
+  /** Probes health and load of a backend; the result is passed to onBackendReport. */
   virtual void probeBackend(const Backend& backend) = 0;
 };
 
-/** Who this node is and how it behaves. */
+/** Identity and settings of a node. */
 struct NodeSettings {
   std::string name;
   std::string zone;
   Endpoint peer_address;
   std::string placement_policy = "power_of_two";
-  /** Time between two messages that carry load to a peer. */
+  /** Interval between two messages that carry load reports to a peer. */
   Duration gossip_interval = milliseconds(500);
-  /** Peers that a change of state or configuration is sent to at once. */
+  /** Number of peers to which a change of state or configuration is sent immediately. */
   std::size_t push_fanout = 3;
-  /** Bytes of gossip that the node sends a second; as many arrive. */
+  /** Gossip that the node sends [bytes/s]; it receives as much. */
   std::size_t control_bytes_per_second = 1400;
   FlowRouterSettings flow;
   PlacementSettings placement;
@@ -57,7 +57,7 @@
   LoadSpreadSettings load_spread;
 };
 
-/** How the node stands with the rest of the fleet. */
+/** State of the node within the cluster. */
 struct ClusterStatus {
   JoinState join = JoinState::Joining;
   ViewState view = ViewState::Stale;
@@ -67,13 +67,13 @@
   /** Time since the request whose answer last confirmed the view. */
   Duration view_age{};
 
-  /** @return true if the node places on a view that nothing confirmed in time. */
+  /** @return true if the node places flows by a view that was not confirmed in time. */
   bool degraded() const { return join == JoinState::Degraded || view == ViewState::Degraded; }
 };
 
 /**
- * One balancer without its sockets and clocks: inputs come as calls, outputs go to NodeOutputs.
- * Runs in the daemon, in the simulator and in tests of the cluster.
+ * A balancer without sockets and clocks: inputs are calls, outputs go to NodeOutputs. Used by the
+ * daemon, the simulator and cluster tests.
  */
 class Node : private FlowRouterHost, private MembershipHost, private ConfigurationSpreadHost {
  public:
@@ -83,20 +83,20 @@
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from);
   void onPeerMessage(Endpoint from, const PeerMessage& message);
 
-  /** Takes the platform's document as it was read. */
+  /** Handles the platform's configuration document as it was read. */
   void onPlatformConfiguration(const std::string& json_text);
   void onPlatformMachines(const std::vector<Machine>& machines);
   void onBackendReport(const BackendReport& report);
 
-  /** Does what is due; to be called every 10 ms to 100 ms. */
+  /** Performs periodic work; to be called every 10 ms to 100 ms. */
   void onTick();
 
-  /** Begins a planned stop: places nothing more, goes on relaying. */
+  /** Starts a planned stop: no new flows are placed, packets of open flows are still forwarded. */
   void startLeaving();
 
   bool isLeaving() const { return leaving_; }
 
-  /** @return Reason::None if the node places new flows now. */
+  /** @return Reason::None if the node currently places new flows. */
   Reason placementBlockedBy() const override;
 
   ClusterStatus clusterStatus() const;
@@ -142,14 +142,14 @@
   void onGossip(Endpoint from, const GossipHeader& gossip);
   void onObservation(const BackendObservation& observation);
   GossipHeader makeGossip(const MemberRecord* about, ObservationScope scope);
-  /** @return bytes that the budget leaves for more in a message. */
+  /** @return size that the budget leaves for additions to a message [bytes]. */
   std::size_t remainingBudget(const GossipHeader& gossip);
   ObservationAudience audience() const;
   bool isSmallFleet() const;
 
   void confirmView(MonotonicTime now);
 
-  /** Takes the platform's first document once no peer can be expected to know a newer one. */
+  /** Adopts the platform's first document once no peer is expected to have a newer one. */
   void adoptInitialDocument();
   void adoptPlatformDocument(const std::string& json_text);
   void pushUpdates();
@@ -170,7 +170,7 @@
   ConfigurationSpread configuration_;
   ViewLease lease_;
   JoinController join_;
-  /** The platform's document, until it is clear that no peer knows a newer one. */
+  /** The platform's document, until it is clear that no peer has a newer one. */
   std::string initial_document_;
   ConfigVersion initial_document_version_;
   MonotonicTime next_token_prompted_read_at_;
@@ -181,7 +181,7 @@
   MonotonicTime next_confirmation_at_;
   MonotonicTime next_observations_at_;
   MonotonicTime next_assignment_at_;
-  /** Earliest read of the platform without an answer; unset if none is under way. */
+  /** Time of the earliest unanswered read of the platform; unset if none is pending. */
   MonotonicTime platform_requested_at_;
   std::uint64_t assigned_generation_ = 0;
   ConfigurationId assigned_configuration_;
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -10,20 +10,28 @@
 
 constexpr Duration kCleanupInterval = seconds(10);
 /**
- * Changes in one answer of which each server gets a log line of its own; more are told as lists. A
- * line takes some 10 us of processor time: of 300 to 700 at once packets waited 135 to 197 ms on a
- * node with 0.027 of a core.
+ * Maximum number of changes in one answer for which each backend gets a log line of its own; more
+ * are logged as lists. A line takes about 10 us of CPU time: with 300 to 700 lines at once packets
+ * waited 135 to 197 ms on a node with 0.027 of a core.
  */
 constexpr std::size_t kMaxChangesLoggedSingly = 20;
-/** Changes in one answer that every node tells as lists: ten lines. */
+/** Maximum number of changes in one answer that every node logs as lists: ten lines. */
 constexpr std::size_t kMaxChangesLoggedAsLists = 400;
-/** Causes told apart of records that can't be used: all that one version of the program has. */
+/**
+ * Number of causes of invalid records that have counters of their own: as many as one version of
+ * the program has.
+ */
 constexpr std::size_t kMaxInvalidRecordCauses = 64;
 constexpr Duration kComparisonInterval = milliseconds(500);
-/** Time between two moves of the limits on new flows: a small part of callers' targets. */
+/**
+ * Interval between two updates of the limits on new flows: a small fraction of clients' response
+ * time targets.
+ */
 constexpr Duration kLoadUpdateInterval = milliseconds(100);
-/** Requests present for each slot from which a server may be silent because it is full: a second
- * waits behind each one then, and some servers have longer queues than others. */
+/**
+ * Requests in flight per slot from which a backend may be silent because it is full: each request
+ * then has a second one queued behind it, and some backends have longer queues than others.
+ */
 constexpr double kMinPressureRequestsPerSlot = 2;
 
 PlacementSettings placementSettingsOf(const PacketNodeSettings& settings) {
@@ -230,7 +238,8 @@
   if (!from_store) {
     return;
   }
-  // Those that read the store tell all servers, so that each one's state is in some node's log.
+  // Nodes that read the store log all backends, so that the state of each one is in some node's
+  // log.
   for (const std::string& line : registry_.snapshotLines()) {
     log_.write(LogLevel::Info, "discovery", "backend_snapshot",
                {{"revision", follower_.revision()}, {"backends", line}});
@@ -319,7 +328,7 @@
   ++counters_.configurations_applied;
   work_.measure(ControlWork::Configuration, [this] { return updateConfiguration(); });
   zones_out_of_service_ = registry_.zonesOutOfService();
-  // The operator's first routes may come after the first full read.
+  // The operator's first routes may arrive after the first full read.
   if (isComplete() && on_complete_) {
     std::exchange(on_complete_, nullptr)();
   }
@@ -329,7 +338,8 @@
   const std::uint64_t routes_before = registry_.counters().routes_made;
   const ConfigurationChanges changes = registry_.updateConfiguration();
   clearPreviousIncarnations(changes.restarted);
-  // Before placement takes new servers in: it asks whether their zones can be reached.
+  // This comes before placement adds new backends, because placement asks whether their zones are
+  // reachable.
   if (settings_.uses.share_evidence) {
     evidence_.onConfigurationChanged(changes, *registry_.configuration());
     reporter_.setConfiguration(*registry_.configuration());
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -16,32 +16,32 @@
 
 namespace lugfork {
 
-/** What a balancer makes of what it observes in packets; each can be switched off to measure it. */
+/** Uses of the observations from packets; each can be switched off to measure its effect. */
 struct ObservationUses {
-  /** Back ends that do not seem to answer get no new flows. */
+  /** Suspect backends get no new flows. */
   bool exclude_suspects = true;
-  /** Open flows of back ends that are surely dead are reset. */
+  /** Open flows of backends that are known to be dead are reset. */
   bool reset_dead = true;
-  /** Back ends that answer slowly get fewer new flows. */
+  /** Backends that respond slowly get fewer new flows. */
   bool weight_by_speed = true;
   /** Load is estimated by requests in flight. */
   bool count_in_flight = true;
-  /** What other balancers of the zone have seen of silent servers counts too. */
+  /** Evidence of silent backends from other balancers of the zone counts too. */
   bool share_evidence = false;
-  /** New flows leave the own zone by what its callers ask, before answers come late. */
+  /** New flows leave the local zone according to its clients' demand, before responses get slow. */
   bool overflow_by_demand = false;
 };
 
-/** Who this balancer is and how it behaves. */
+/** Identity and settings of a balancer. */
 struct PacketNodeSettings {
   std::string name;
   std::string zone;
   CompactTokenKey token_key{};
   std::string placement_policy = "bounded_rendezvous";
   FlowObserverSettings observer;
-  /** Time for which a server that is gone from the platform stays reachable for open flows. */
+  /** Time for which a backend that was removed from the platform stays reachable for open flows. */
   Duration retired_ttl = seconds(90);
-  /** Time for which changes of back ends are collected before they come into force. */
+  /** Time for which changes of backends are collected before they are applied. */
   Duration apply_delay = milliseconds(5);
   FlowDeciderSettings decider;
   PlacementSettings placement;
@@ -49,7 +49,7 @@
   SilenceSettings silence;
   SharedEvidenceSettings evidence;
   ResponseTimeSettings response_times;
-  /** Its weights are taken from the placement's. */
+  /** Its weights are overwritten by those of the placement. */
   LocalitySettings locality;
   LoadEstimateSettings load;
   LoadControlSettings load_control;
@@ -58,27 +58,27 @@
   ViewFollowerSettings follower;
 };
 
-/** Where a platform keeps routes and servers, and how it writes them. */
+/** Where a platform stores routes and backends, and how it encodes them. */
 struct PlatformLayout {
-  /** Prefix of all keys that matter: one view holds them all. */
+  /** Prefix of all relevant keys: one view holds them all. */
   std::string prefix;
-  /** Prefix of servers. */
+  /** Prefix of backends. */
   std::string endpoints_prefix;
-  /** Prefix of what the operator writes: routes, and which zones are out of service. */
+  /** Prefix of the documents that the operator writes: routes, and zones out of service. */
   std::string documents_prefix;
   const RecordDecoder& decoder;
 };
 
-/** Counts of the node beside the data path. */
+/** Counters of the node outside the data path. */
 struct PacketNodeCounters {
-  /** Records that can't be used, by the cause; the causes are texts of this program. */
+  /** Invalid records by cause; the causes are fixed texts of this program. */
   std::map<std::string, std::uint64_t> records_invalid;
   std::uint64_t configurations_applied = 0;
 };
 
 /**
- * One balancer for packets with compact tokens, without its sockets and clocks: follows the
- * platform's routes and servers and routes packets by them.
+ * A balancer for packets with compact tokens, without sockets and clocks. Follows the platform's
+ * routes and backends and routes packets by them.
  */
 class PacketNode : private PacketRouterHost, private ViewFollowerHost, private ServicePressure {
  public:
@@ -91,44 +91,49 @@
 
   void onPacket(const FlowPacket& packet) { router_.onPacket(packet); }
 
-  /** @return true once routes and servers are known whole. */
+  /** @return true once all routes and backends are known. */
   bool isComplete() const;
 
-  /** Begins a planned stop: the node is not ready any more but forwards as before. */
+  /** Starts a planned stop: the node is no longer ready but forwards as before. */
   void startLeaving();
 
-  /** @return true where callers may be sent here. */
+  /** @return true if clients may be sent to this node. */
   bool isReady() const { return isComplete() && !leaving_; }
   bool isLeaving() const { return leaving_; }
 
-  /** Sets what is called once, when the node becomes complete. */
+  /** Sets a callback for the moment at which the node becomes complete; called once. */
   void setCompletionCallback(std::function<void()> callback) { on_complete_ = std::move(callback); }
 
-  /** Sets what is called once, when others may be told of this node's view. */
+  /**
+   * Sets a callback for the moment from which this node's view may be passed to peers; called once.
+   */
   void setCaughtUpCallback(std::function<void()> callback) { on_caught_up_ = std::move(callback); }
 
-  /** Sets what tells which cold servers belong to this balancer. */
+  /** Sets the function that determines which cold backends this balancer owns. */
   void setIsOwner(ColdServerLimit::IsOwner is_owner) {
     cold_limit_.setIsOwner(std::move(is_owner));
   }
 
-  /** Sets what tells the number of balancers, this one included; without it, this is the only one.
+  /**
+   * Sets the function that returns the number of balancers, this one included; without it there is
+   * only this one.
    */
   void setFleetSize(std::function<double()> fleet_size) { fleet_size_ = std::move(fleet_size); }
 
-  /** Sets what is called with the duration of each handshake that ends here. */
+  /** Sets a callback for the duration of each handshake that ends at this node. */
   void setHandshakeCallback(std::function<void(Duration)> callback) {
     on_handshake_ = std::move(callback);
   }
 
-  /** Sets what is called with the time of each answer that begins here. */
+  /** Sets a callback for the response time of each response that begins at this node. */
   void setResponseCallback(std::function<void(Duration)> callback) {
     on_response_ = std::move(callback);
   }
 
   /**
-   * Sets what tells whether changes come from the platform itself. Of a crowd of changes only such
-   * nodes log each server: 986 nodes wrote 260 lines each while 10,000 servers started.
+   * Sets the function that tells whether changes come directly from the platform. Of a large batch
+   * only nodes that read the platform log each backend: 986 nodes wrote 260 lines each while 10,000
+   * backends started.
    */
   void setReadsPlatform(std::function<bool()> reads_platform) {
     reads_platform_ = std::move(reads_platform);
@@ -138,27 +143,31 @@
   void setProcessorClock(const ProcessorClock& clock) { work_.setClock(clock); }
   const ControlWorkMeter& controlWork() const { return work_; }
 
-  /** @return what others report of silent servers; an EvidenceExchange feeds it. */
+  /** @return evidence of silent backends from other balancers; filled by an EvidenceExchange. */
   SharedEvidence& sharedEvidence() { return evidence_; }
   const SharedEvidence& sharedEvidence() const { return evidence_; }
   EvidenceReporter& evidenceReporter() { return reporter_; }
   /**
-   * To be called when this node was late: it stood still, or a packet has waited in its socket.
-   * What it saw up to now counts as nobody's silence. Cheap, also for each packet.
+   * To be called when this node was delayed: it was paused, or a packet has waited in its socket.
+   * What it observed up to now is not counted as silence of a backend. Cheap enough for each
+   * packet.
    */
   void onBehind();
 
-  /** @return number of servers that look silent by what this node itself has seen. */
+  /** @return number of backends that this node itself suspects. */
   std::size_t locallySuspectedCount() const { return silence_.observations().size(); }
 
   const PacketCounters& packetCounters() const { return router_.counters(); }
   const PacketNodeCounters& counters() const { return counters_; }
   const LocalityRouter& locality() const { return locality_; }
   const LoadControl& loadControl() const { return load_control_; }
-  /** @return routes and back ends in force, or nullptr before the first. */
+  /** @return routes and backends in force, or nullptr before the first. */
   const ConfigurationView* configuration() const { return decider_.configuration(); }
   const ViewFollower& follower() const { return follower_; }
-  /** @return the zones whose servers get no new flow, by the configuration in force. */
+  /**
+   * @return number of zones out of service, whose backends get no new flow, in the configuration in
+   * force.
+   */
   std::size_t zonesOutOfService() const { return zones_out_of_service_; }
   std::uint64_t routesVersion() const { return registry_.routesVersion(); }
   const BackendRegistryCounters& registryCounters() const { return registry_.counters(); }
@@ -193,25 +202,26 @@
   void connectObservations();
   void logFirstView(ViewOrigin origin);
   void onChange(const ItemChange& change);
-  /** @return how a batch of so many changes is logged. */
+  /** @return how a batch of that many changes is logged. */
   BackendRegistry::BatchLog batchLogFor(std::size_t changes) const;
   void onInvalidRecord(const Item& item, const RecordProblem& problem);
   void onDeletion(const Item& item);
 
-  /** Takes servers that are still missing for gone once the platform has been back for long enough.
+  /**
+   * Retires backends that are still missing once the platform has been reachable for long enough.
    */
   void scheduleRetirement();
   void scheduleApply();
   void apply();
-  /** @return number of back ends and routes that have changed. */
+  /** @return number of backends and routes that have changed. */
   std::uint64_t updateConfiguration();
   void pruneRemovedBackends();
-  /** Forgets what was seen of back ends before they started again. */
+  /** Discards observations of earlier incarnations of restarted backends. */
   void clearPreviousIncarnations(const std::vector<BackendId>& restarted);
   void scheduleCleanup();
   void scheduleComparison();
   void scheduleLoadUpdate();
-  /** Moves the limits of admission, and the estimates of what the own zone asks. */
+  /** Updates the admission limits and the estimates of the local zone's demand. */
   void updateLoad();
 
   const PacketNodeSettings settings_;
--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -20,7 +20,7 @@
   std::vector<std::string> events;
 };
 
-TEST_CASE("slices are counted by kind, and only a long one is logged", "[control_work]") {
+TEST_CASE("slices are counted by kind, and only a long slice is logged", "[control_work]") {
   ManualProcessorClock clock;
   RecordingLog log;
   ControlWorkMeter meter(log);
@@ -43,7 +43,7 @@
   CHECK(meter.cost(ControlWork::Configuration).slices == 1);
 }
 
-TEST_CASE("without a clock slices are counted all the same", "[control_work]") {
+TEST_CASE("without a clock slices and units are still counted", "[control_work]") {
   RecordingLog log;
   ControlWorkMeter meter(log);
   meter.measure(ControlWork::Items, [] { return std::uint64_t{7}; });
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -5,7 +5,7 @@
 #include "discovery/discovery_fixture.h"
 #include "wire/record_codec.h"
 
-/** How much work changes make of a node that knows 3,000 servers: counted, not timed. */
+/** Counts the work that changes cause at a node with 3,000 backends, without timing it. */
 namespace lugfork {
 namespace {
 
@@ -70,7 +70,7 @@
     settle();
   }
 
-  /** @return the back end that gets the flow; empty for none. */
+  /** @return the backend to which the flow is forwarded; empty for none. */
   std::string open(std::uint16_t port) {
     forwarded.clear();
     FlowPacket packet;
@@ -102,7 +102,7 @@
   std::string forwarded;
 };
 
-TEST_CASE("one server's change makes one back end and no route, however many there are",
+TEST_CASE("a change of one backend rebuilds one backend and no route, independent of their number",
           "[control_work]") {
   LargeNode harness;
   harness.open(1);
@@ -116,7 +116,7 @@
   CHECK(harness.node.candidatesMade() <= candidates_before + 1);
 }
 
-TEST_CASE("many changes at once are told as lists, a few with a line each", "[control_work]") {
+TEST_CASE("many changes at once are logged as lists, a few with a line each", "[control_work]") {
   LargeNode harness;
   constexpr std::uint32_t kSmallBatch = 3;
   std::vector<ItemChange> changes;
@@ -135,7 +135,7 @@
   CHECK(harness.log.lines("backend_states") == (kLargeBatch - kSmallBatch + 39) / 40);
 }
 
-TEST_CASE("a crowd of changes is one line where another balancer tells them", "[control_work]") {
+TEST_CASE("a large batch of changes that a peer relays is logged as one line", "[control_work]") {
   LargeNode harness;
   const bool reads_platform = GENERATE(true, false);
   harness.node.setReadsPlatform([reads_platform] { return reads_platform; });
@@ -148,7 +148,7 @@
   CHECK(harness.log.lines("backends_changed") == (reads_platform ? 0 : 1));
 }
 
-TEST_CASE("new routes make no back end", "[control_work]") {
+TEST_CASE("new routes rebuild no backend", "[control_work]") {
   LargeNode harness;
   const BackendRegistryCounters before = harness.node.registryCounters();
   harness.change({{routesItem(11), false}});
@@ -156,7 +156,7 @@
   CHECK(harness.node.registryCounters().backends_made == before.backends_made);
 }
 
-TEST_CASE("a first view makes each back end once", "[control_work]") {
+TEST_CASE("a first view builds each backend once", "[control_work]") {
   const LargeNode harness;
   CHECK(harness.node.registryCounters().backends_made == kBackendCount);
   CHECK(harness.node.registryCounters().routes_made == kRoutes);
--- a/tests/balancer/node_test.cc
+++ b/tests/balancer/node_test.cc
@@ -10,7 +10,7 @@
 namespace lugfork {
 namespace {
 
-/** Counts what a node asks of its surroundings. */
+/** Counts what a node requests from its environment. */
 class CountingOutputs : public NodeOutputs {
  public:
   void sendDatagram(Endpoint, const Datagram&) override {}
@@ -28,7 +28,7 @@
   return parseConfigurationDocument(text).value();
 }
 
-TEST_CASE("tokens with an unknown key prompt few reads of the platform") {
+TEST_CASE("tokens with an unknown key cause few reads of the platform") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   CountingOutputs outputs;
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -13,8 +13,8 @@
 const std::string kStartedPrefix = "server started ";
 
 /**
- * Reads items whose value is "route", "server", "server started N", "draining", "zone lac out of
- * service" or broken.
+ * Decodes items whose value is "route", "server", "server started N", "draining" or "zone lac out
+ * of service"; rejects others.
  */
 class FakeDecoder : public RecordDecoder {
  public:
@@ -85,7 +85,7 @@
   int completions = 0;
 };
 
-TEST_CASE("a node is ready once routes and servers are known", "[packet_node]") {
+TEST_CASE("node is ready once routes and backends are known", "[packet_node]") {
   PacketNodeHarness harness;
   CHECK_FALSE(harness.node.isReady());
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server")});
@@ -95,7 +95,8 @@
   CHECK(harness.forwarded == std::vector<std::string>{"backends/a"});
 }
 
-TEST_CASE("the first routes may come after the first full read", "[packet_node]") {
+TEST_CASE("node becomes ready if the first routes arrive after the first full read",
+          "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("backends/a", 3, "server")});
   CHECK_FALSE(harness.node.isReady());
@@ -106,7 +107,7 @@
   CHECK(harness.completions == 1);
 }
 
-TEST_CASE("a draining server gets no new flows", "[packet_node]") {
+TEST_CASE("draining backend gets no new flows", "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server")});
@@ -117,7 +118,7 @@
   CHECK(harness.forwarded == std::vector<std::string>(50, "backends/b"));
 }
 
-TEST_CASE("a server whose entry lapsed while the store was away lives until two seconds later",
+TEST_CASE("backend whose item expired during a store outage stays in use for two more seconds",
           "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server")});
@@ -126,20 +127,21 @@
   harness.change(deleted("backends/a", 12));
   harness.open(5000);
   CHECK(harness.forwarded == std::vector<std::string>{"backends/a"});
-  SECTION("it writes its entry again") {
+  SECTION("it writes its item again") {
     harness.change(written("backends/a", 13, "server"));
     harness.scheduler.advance(seconds(3));
     harness.open(5001);
     CHECK(harness.forwarded.size() == 2);
   }
-  SECTION("it is gone after that") {
+  SECTION("it is removed after that") {
     harness.scheduler.advance(milliseconds(1600));
     harness.open(5001);
     CHECK(harness.forwarded.size() == 1);
   }
 }
 
-TEST_CASE("a server whose entry goes while the store answers gets nothing new", "[packet_node]") {
+TEST_CASE("backend whose item is deleted while the store is reachable gets no new flows",
+          "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server")});
@@ -153,9 +155,8 @@
   CHECK(harness.forwarded == std::vector<std::string>(50, "backends/b"));
 }
 
-TEST_CASE(
-    "a node that starts without any back end stays silent until entries had time to come back",
-    "[packet_node]") {
+TEST_CASE("node that starts without backends sends no resets until items had time to be rewritten",
+          "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route")});
   harness.open(5000);
@@ -165,27 +166,28 @@
   CHECK(harness.resets == 1);
 }
 
-TEST_CASE("with all zones out of service openings are reset at once, until one is back",
-          "[packet_node]") {
+TEST_CASE(
+    "with all zones out of service openings are reset at once until a zone is back in service",
+    "[packet_node]") {
   const std::string key = "zones/lac";
   const std::string out = "zone lac out of service";
   PacketNodeHarness harness;
   std::vector<Item> items = {item("routes/all", 2, "route"), item("backends/a", 3, "server")};
-  SECTION("out of service before the node starts") {
+  SECTION("zone is out of service before the node starts") {
     items.push_back(item(key, 4, out));
     harness.read(items);
     harness.scheduler.advance(seconds(2));
     harness.source.answerWatch(kPrefix, ItemChanges{{}, 11});
     harness.scheduler.advance(milliseconds(10));
   }
-  SECTION("out of service later") {
+  SECTION("zone is taken out of service later") {
     harness.read(items);
     harness.open(5000);
     CHECK(harness.forwarded.size() == 1);
     harness.scheduler.advance(seconds(2));
     harness.change(written(key, 12, out));
   }
-  SECTION("out of service, taken back and out of service again") {
+  SECTION("zone is out of service, back in service and out of service again") {
     harness.read(items);
     harness.scheduler.advance(seconds(2));
     harness.change(written(key, 12, out));
@@ -205,7 +207,7 @@
   CHECK(harness.node.zonesOutOfService() == 0);
 }
 
-TEST_CASE("a full read that no longer shows a zone as out of service brings it back",
+TEST_CASE("a full read without the out-of-service item puts the zone back in service",
           "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
@@ -219,7 +221,8 @@
   CHECK(harness.node.zonesOutOfService() == 0);
 }
 
-TEST_CASE("a broken item names no server to use, and open flows go on", "[packet_node]") {
+TEST_CASE("backend with an invalid item gets no new flows, and its open flows continue",
+          "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server")});
@@ -246,8 +249,7 @@
   CHECK(harness.forwarded.back() == "backends/a");
 }
 
-TEST_CASE("a server that starts again under its id is not suspected for its earlier run",
-          "[packet_node]") {
+TEST_CASE("restarted backend is not suspected for its earlier incarnation", "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server started 1000"),
                 item("backends/b", 4, "draining")});
@@ -259,13 +261,13 @@
   packet.acknowledged = 1;
   harness.node.onPacket(packet);
   CHECK(harness.node.locallySuspectedCount() == 1);
-  SECTION("the later run is not suspected") {
+  SECTION("the new incarnation is not suspected") {
     harness.source.answerWatch(kPrefix,
                                ItemChanges{{written("backends/a", 12, "server started 2000")}, 12});
     harness.scheduler.advance(milliseconds(20));
     CHECK(harness.node.locallySuspectedCount() == 0);
   }
-  SECTION("another beat of the same run changes nothing") {
+  SECTION("a further write of the same incarnation changes nothing") {
     harness.source.answerWatch(kPrefix,
                                ItemChanges{{written("backends/a", 12, "server started 1000")}, 12});
     harness.scheduler.advance(milliseconds(20));
@@ -273,7 +275,7 @@
   }
 }
 
-TEST_CASE("flows spread evenly where requests in flight are counted, and by chance where not",
+TEST_CASE("flows spread evenly if requests in flight are counted, and randomly otherwise",
           "[packet_node]") {
   PacketNodeSettings settings;
   settings.uses.count_in_flight = GENERATE(true, false);
@@ -293,7 +295,7 @@
   CHECK(is_even == settings.uses.count_in_flight);
 }
 
-TEST_CASE("suspects get new flows where they are not to be passed over", "[packet_node]") {
+TEST_CASE("suspect backends get new flows if they are not to be excluded", "[packet_node]") {
   PacketNodeSettings settings;
   settings.uses.exclude_suspects = GENERATE(true, false);
   settings.uses.count_in_flight = false;
@@ -316,7 +318,7 @@
   CHECK((flows_to_silent == 0) == settings.uses.exclude_suspects);
 }
 
-TEST_CASE("servers that others found silent get no new flows where evidence is shared",
+TEST_CASE("backends reported silent by peers get no new flows if evidence is shared",
           "[packet_node]") {
   PacketNodeSettings settings;
   settings.zone = "lac";
@@ -334,7 +336,7 @@
   CHECK((flows_to_silent == 0) == settings.uses.share_evidence);
 }
 
-TEST_CASE("a leaving node is not ready and still serves", "[packet_node]") {
+TEST_CASE("leaving node is not ready and still serves", "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server")});
   harness.node.startLeaving();
