--- a/src/load/opening_backlog.h
+++ b/src/load/opening_backlog.h
@@ -103,7 +103,7 @@
 
   /**
    * @return the opening to reject next: one that has been queued for at least half of
-   * `exclusive_window` and surely arrived within it; nothing if there is none.
+   * `exclusive_window` and certainly arrived within it; nothing if there is none.
    */
   std::optional<PendingOpening> takeForRejection(MonotonicTime now);
 
--- a/src/load/policy/pressure_policy.h
+++ b/src/load/policy/pressure_policy.h
@@ -7,7 +7,7 @@
 
 namespace lugfork {
 
-/** What a balancer knows about a service when it computes the pressure. */
+/** Observations of a service from which a PressurePolicy computes the pressure. */
 struct PressureInput {
   ServiceLoad load;
   /** Slots of all backends that accept new flows, in all zones. */
--- a/src/load/service_time.cc
+++ b/src/load/service_time.cc
@@ -17,7 +17,7 @@
 constexpr double kBucketsPerOctave = 4;
 constexpr double kLowQuantile = 0.05;
 /** Growth of the short responses from which the work has changed; a standing queue causes less. */
-constexpr double kMinWorkChangeRatio = 2;
+constexpr double kMinWorkGrowthRatio = 2;
 
 }  // namespace
 
@@ -61,7 +61,7 @@
                           return a.mean_ms < b.mean_ms;
                         });
   const double growth = lowest.p5_ms / reference_.p5_ms;
-  if (growth >= kMinWorkChangeRatio) {
+  if (growth >= kMinWorkGrowthRatio) {
     reference_ = {std::min(reference_.mean_ms * growth, lowest.mean_ms), lowest.p5_ms,
                   lowest.ended_at};
   }
