--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -8,8 +8,8 @@
 namespace {
 
 struct ManualProcessorClock : ProcessorClock {
-  Duration used() const override { return used_so_far; }
-  Duration used_so_far{};
+  Duration used() const override { return cpu_time_used; }
+  Duration cpu_time_used{};
 };
 
 struct RecordingLog : EventLog {
@@ -20,14 +20,14 @@
   std::vector<std::string> events;
 };
 
-TEST_CASE("slices are counted by kind, and only a long one is logged", "[control_work]") {
+TEST_CASE("slices are counted by kind, and only a long slice is logged", "[control_work]") {
   ManualProcessorClock clock;
   RecordingLog log;
   ControlWorkMeter meter(log);
   meter.setClock(clock);
   const auto work = [&](ControlWork kind, Duration duration, std::uint64_t units) {
     meter.measure(kind, [&] {
-      clock.used_so_far += duration;
+      clock.cpu_time_used += duration;
       return units;
     });
   };
@@ -38,17 +38,17 @@
   CHECK(log.events == std::vector<std::string>{"control_work_long"});
   CHECK(meter.cost(ControlWork::Items).slices == 2);
   CHECK(meter.cost(ControlWork::Items).units == 8);
-  CHECK(meter.cost(ControlWork::Items).processor == milliseconds(5));
-  CHECK(meter.cost(ControlWork::Items).longest == milliseconds(4));
+  CHECK(meter.cost(ControlWork::Items).cpu_time == milliseconds(5));
+  CHECK(meter.cost(ControlWork::Items).max_slice == milliseconds(4));
   CHECK(meter.cost(ControlWork::Configuration).slices == 1);
 }
 
-TEST_CASE("without a clock slices are counted all the same", "[control_work]") {
+TEST_CASE("without a clock slices and units are still counted", "[control_work]") {
   RecordingLog log;
   ControlWorkMeter meter(log);
   meter.measure(ControlWork::Items, [] { return std::uint64_t{7}; });
   CHECK(meter.cost(ControlWork::Items).units == 7);
-  CHECK(meter.cost(ControlWork::Items).processor == Duration::zero());
+  CHECK(meter.cost(ControlWork::Items).cpu_time == Duration::zero());
 }
 
 }  // namespace
--- a/tests/balancer/control_work_test.cc
+++ b/tests/balancer/control_work_test.cc
@@ -5,15 +5,16 @@
 #include "discovery/discovery_fixture.h"
 #include "wire/record_codec.h"
 
-/** How much work changes make of a node that knows 3,000 servers: counted, not timed. */
+/** Counts the work that changes cause at a node with 3,000 backends, without timing it. */
 namespace lugfork {
 namespace {
 
 const std::string kPrefix = "platform/";
-constexpr std::uint32_t kServers = 3000;
+constexpr std::uint32_t kBackendCount = 3000;
 constexpr std::uint32_t kRoutes = 1700;
 
-Item serverItem(std::uint32_t number, Revision revision, BackendState state = BackendState::Ready) {
+Item backendItem(std::uint32_t number, Revision revision,
+                 BackendState state = BackendState::Ready) {
   BackendRecord record;
   record.server_id = number + 1;
   record.service = number % 5 == 0 ? "ingest" : "listen";
@@ -55,8 +56,8 @@
   LargeNode() {
     node.start();
     ItemPage page{{routesItem(1)}, false, 10};
-    for (std::uint32_t number = 0; number < kServers; ++number) {
-      page.items.push_back(serverItem(number, 2));
+    for (std::uint32_t number = 0; number < kBackendCount; ++number) {
+      page.items.push_back(backendItem(number, 2));
     }
     source.answerPage(kPrefix, std::move(page));
     source.answerWatch(kPrefix, ItemChanges{{}, 10});
@@ -70,7 +71,7 @@
     settle();
   }
 
-  /** @return the back end that gets the flow; empty for none. */
+  /** @return the backend to which the flow is forwarded; empty for none. */
   std::string open(std::uint16_t port) {
     forwarded.clear();
     FlowPacket packet;
@@ -102,64 +103,64 @@
   std::string forwarded;
 };
 
-TEST_CASE("one server's change makes one back end and no route, however many there are",
+TEST_CASE("a change of one backend rebuilds one backend and no route, independent of their number",
           "[control_work]") {
-  LargeNode large;
-  large.open(1);
-  const BackendRegistryCounters before = large.node.registryCounters();
-  const std::uint64_t candidates_before = large.node.candidatesEvaluated();
-  large.change({{serverItem(77, 11, BackendState::Draining), false}});
-  large.open(2);
-  CHECK(large.node.registryCounters().backends_built == before.backends_built + 1);
-  CHECK(large.node.registryCounters().routes_built == before.routes_built);
-  CHECK(large.node.registryCounters().services_built == before.services_built);
-  CHECK(large.node.candidatesEvaluated() <= candidates_before + 1);
+  LargeNode harness;
+  harness.open(1);
+  const BackendRegistryCounters before = harness.node.registryCounters();
+  const std::uint64_t candidates_before = harness.node.candidatesEvaluated();
+  harness.change({{backendItem(77, 11, BackendState::Draining), false}});
+  harness.open(2);
+  CHECK(harness.node.registryCounters().backends_built == before.backends_built + 1);
+  CHECK(harness.node.registryCounters().routes_built == before.routes_built);
+  CHECK(harness.node.registryCounters().services_built == before.services_built);
+  CHECK(harness.node.candidatesEvaluated() <= candidates_before + 1);
 }
 
-TEST_CASE("many changes at once are told as lists, a few with a line each", "[control_work]") {
-  LargeNode large;
-  constexpr std::uint32_t kFew = 3;
+TEST_CASE("many changes at once are logged as lists, a few with a line each", "[control_work]") {
+  LargeNode harness;
+  constexpr std::uint32_t kSmallBatch = 3;
   std::vector<ItemChange> changes;
-  for (std::uint32_t number = 0; number < kFew; ++number) {
-    changes.push_back({serverItem(number, 11, BackendState::Draining), false});
+  for (std::uint32_t number = 0; number < kSmallBatch; ++number) {
+    changes.push_back({backendItem(number, 11, BackendState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_state") == kFew);
-  CHECK(large.log.lines("backend_states") == 0);
-  constexpr std::uint32_t kMany = 600;
-  for (std::uint32_t number = kFew; number < kMany; ++number) {
-    changes.push_back({serverItem(number, 12, BackendState::Draining), false});
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_state") == kSmallBatch);
+  CHECK(harness.log.lines("backend_states") == 0);
+  constexpr std::uint32_t kLargeBatch = 600;
+  for (std::uint32_t number = kSmallBatch; number < kLargeBatch; ++number) {
+    changes.push_back({backendItem(number, 12, BackendState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_state") == kFew);
-  CHECK(large.log.lines("backend_states") == (kMany - kFew + 39) / 40);
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_state") == kSmallBatch);
+  CHECK(harness.log.lines("backend_states") == (kLargeBatch - kSmallBatch + 39) / 40);
 }
 
-TEST_CASE("a crowd of changes is one line where another balancer tells them", "[control_work]") {
-  LargeNode large;
+TEST_CASE("a large batch of changes that a peer relays is logged as one line", "[control_work]") {
+  LargeNode harness;
   const bool reads_platform = GENERATE(true, false);
-  large.node.setReadsPlatform([reads_platform] { return reads_platform; });
+  harness.node.setReadsPlatform([reads_platform] { return reads_platform; });
   std::vector<ItemChange> changes;
   for (std::uint32_t number = 0; number < 600; ++number) {
-    changes.push_back({serverItem(number, 12, BackendState::Draining), false});
+    changes.push_back({backendItem(number, 12, BackendState::Draining), false});
   }
-  large.change(changes);
-  CHECK(large.log.lines("backend_states") == (reads_platform ? 15 : 0));
-  CHECK(large.log.lines("backends_changed") == (reads_platform ? 0 : 1));
+  harness.change(changes);
+  CHECK(harness.log.lines("backend_states") == (reads_platform ? 15 : 0));
+  CHECK(harness.log.lines("backends_changed") == (reads_platform ? 0 : 1));
 }
 
-TEST_CASE("new routes make no back end", "[control_work]") {
-  LargeNode large;
-  const BackendRegistryCounters before = large.node.registryCounters();
-  large.change({{routesItem(11), false}});
-  CHECK(large.node.registryCounters().routes_built == before.routes_built + kRoutes);
-  CHECK(large.node.registryCounters().backends_built == before.backends_built);
+TEST_CASE("new routes rebuild no backend", "[control_work]") {
+  LargeNode harness;
+  const BackendRegistryCounters before = harness.node.registryCounters();
+  harness.change({{routesItem(11), false}});
+  CHECK(harness.node.registryCounters().routes_built == before.routes_built + kRoutes);
+  CHECK(harness.node.registryCounters().backends_built == before.backends_built);
 }
 
-TEST_CASE("a first view makes each back end once", "[control_work]") {
-  const LargeNode large;
-  CHECK(large.node.registryCounters().backends_built == kServers);
-  CHECK(large.node.registryCounters().routes_built == kRoutes);
+TEST_CASE("a first view builds each backend once", "[control_work]") {
+  const LargeNode harness;
+  CHECK(harness.node.registryCounters().backends_built == kBackendCount);
+  CHECK(harness.node.registryCounters().routes_built == kRoutes);
 }
 
 }  // namespace
--- a/tests/load/admission_comparison_test.cc
+++ b/tests/load/admission_comparison_test.cc
@@ -9,13 +9,14 @@
 
 void print(const char* name, const std::string& mode, const ReplayOutcome& outcome) {
   std::printf("| %s | %s | %.3f | %.3f | %.3f | %.3f | %.2f | %.2f to %.2f |\n", name, mode.c_str(),
-              outcome.urgent.share(), outcome.other.share(), outcome.credit(), outcome.turnedAway(),
-              outcome.requestsPerSlot(), outcome.lowest_level, outcome.highest_level);
+              outcome.urgent.inTimeFraction(), outcome.other.inTimeFraction(),
+              outcome.weightedInTimeFraction(), outcome.backendRejectionFraction(),
+              outcome.requestsPerSlot(), outcome.min_level, outcome.max_level);
 }
 
 }  // namespace
 
-TEST_CASE("Table of the ways to find pressure", "[.table]") {
+TEST_CASE("table of pressure policies", "[.table]") {
   for (const char* mode : {"off", "in_flight", "response_time", "share"}) {
     for (const double load : {0.78, 1.0, 1.29, 2.0}) {
       AdmissionReplay replay({mode});
--- a/tests/load/load_control_test.cc
+++ b/tests/load/load_control_test.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Keeps the times and fields of admission_changed. */
-struct LevelLog : EventLog {
-  explicit LevelLog(const TimeSource& source) : clock(source) {}
+/** Records the times and fields of admission_changed. */
+struct AdmissionLog : EventLog {
+  explicit AdmissionLog(const TimeSource& source) : clock(source) {}
   void write(LogLevel, std::string_view component, std::string_view event,
              std::initializer_list<LogField> fields) override {
     CHECK(component == "load");
@@ -31,29 +31,30 @@
 }  // namespace
 
 TEST_CASE(
-    "At 129% of the slots urgent requests are served in time and the rest gets what is left") {
+    "at 129% of the slots urgent requests are served in time and others get the remaining slots") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(40), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.other.share() > 0.35);
-  CHECK(outcome.credit() >= 0.72);
-  CHECK(outcome.turnedAway() < 0.02);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.other.inTimeFraction() > 0.35);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
+  CHECK(outcome.backendRejectionFraction() < 0.02);
   CHECK(outcome.requestsPerSlot() > 1.2);
   CHECK(outcome.requestsPerSlot() < 2.5);
-  CHECK(outcome.highest_level - outcome.lowest_level < 0.25);
+  CHECK(outcome.max_level - outcome.min_level < 0.25);
 }
 
-TEST_CASE("An overload that stands since the balancers' start is seen by requests in flight") {
+TEST_CASE("in_flight policy detects an overload that began before the balancers started") {
   AdmissionReplay replay({"in_flight"});
   replay.run(seconds(10), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
-TEST_CASE("Answers told late don't count where others are told at once") {
+TEST_CASE(
+    "late acknowledgements of responses don't count while other clients acknowledge promptly") {
   LoadClock clock;
   NullEventLog log;
   LoadControl control(LoadControlSettings(), clock, log);
@@ -65,7 +66,7 @@
   }
   CHECK(control.load(ServiceId(1)).response_time > milliseconds(19));
   CHECK(control.load(ServiceId(1)).response_time < milliseconds(21));
-  // Once nobody tells at once any more, what is left counts.
+  // Once no client acknowledges promptly any more, the late ones count.
   clock.elapsed += seconds(6);
   for (int i = 0; i < 100; ++i) {
     clock.elapsed += milliseconds(10);
@@ -74,61 +75,61 @@
   CHECK(control.load(ServiceId(1)).response_time > milliseconds(50));
 }
 
-TEST_CASE("Below the slots next to nothing is rejected") {
+TEST_CASE("at most 1% is rejected while demand is below the slots") {
   const char* mode = GENERATE("in_flight", "response_time", "share");
   const Duration work = GENERATE(milliseconds(17), milliseconds(700));
-  // With 290 balancers each sees 6 requests a second of 17 ms.
+  // With 290 balancers each one receives 6 requests of 17 ms per second.
   const std::uint32_t balancers = GENERATE(3U, 20U, 290U);
   AdmissionReplay replay({mode, {work}, 5 * work, balancers});
   replay.run(seconds(20), 0.5);
   const ReplayOutcome outcome = replay.run(seconds(40), 0.78);
   CAPTURE(mode, work.count(), balancers);
-  CHECK(outcome.rejected <= 0.01 * outcome.sent);
-  CHECK(outcome.credit() > 0.98);
+  CHECK(outcome.rejection_count <= 0.01 * outcome.sent_count);
+  CHECK(outcome.weightedInTimeFraction() > 0.98);
 }
 
-TEST_CASE("Twice the slots are filled with urgent requests") {
+TEST_CASE("at 200% of the slots urgent requests are served in time") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 2);
   const ReplayOutcome outcome = replay.run(seconds(40), 2);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.turnedAway() < 0.02);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.backendRejectionFraction() < 0.02);
 }
 
-TEST_CASE("Slow work is admitted by response times where a balancer sees enough of it") {
+TEST_CASE("response_time policy limits slow work if a balancer receives enough of it") {
   AdmissionReplay replay({"response_time", {milliseconds(700)}, seconds(3), 10});
   replay.run(seconds(20), 0.5);
   replay.run(seconds(20), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(60), 1.29);
-  CHECK(outcome.urgent.share() > 0.8);
-  CHECK(outcome.turnedAway() < 0.05);
+  CHECK(outcome.urgent.inTimeFraction() > 0.8);
+  CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
-TEST_CASE("One class alone shares the slots") {
+TEST_CASE("a single class fills the slots") {
   ReplaySettings settings;
   settings.mode = GENERATE("in_flight", "response_time", "share");
-  settings.urgent_share = 0;
+  settings.urgent_fraction = 0;
   AdmissionReplay replay(settings);
   replay.run(seconds(5), 0.5);
   replay.run(seconds(5), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.other.share() > 0.68);
-  CHECK(outcome.turnedAway() < 0.05);
+  CHECK(outcome.other.inTimeFraction() > 0.68);
+  CHECK(outcome.backendRejectionFraction() < 0.05);
 }
 
-TEST_CASE("After a burst of six times all levels fall to zero within two seconds") {
+TEST_CASE("after a sixfold burst all levels fall to zero within two seconds") {
   AdmissionReplay replay({GENERATE("in_flight", "response_time", "share")});
   replay.run(seconds(5), 0.5);
   const ReplayOutcome burst = replay.run(seconds(6), 3);
-  CHECK(burst.urgent.share() > 0.5);
+  CHECK(burst.urgent.inTimeFraction() > 0.5);
   replay.run(seconds(2), 0.5);
   const ReplayOutcome after = replay.run(seconds(5), 0.5);
-  CHECK(after.rejected == 0);
-  CHECK(after.credit() > 0.99);
+  CHECK(after.rejection_count == 0);
+  CHECK(after.weightedInTimeFraction() > 0.99);
 }
 
-TEST_CASE("Balancers that start amid an overload don't turn urgent requests away") {
+TEST_CASE("balancers that start during an overload keep serving urgent requests in time") {
   AdmissionReplay replay({"response_time"});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(10), 1.29);
@@ -136,23 +137,23 @@
     replay.restart(index);
   }
   const ReplayOutcome outcome = replay.run(seconds(10), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
 }
 
-TEST_CASE("An overload of minutes stays admitted like one of seconds") {
+TEST_CASE("an overload of minutes is limited like one of seconds") {
   AdmissionReplay replay({"response_time"});
   replay.run(seconds(5), 0.5);
   replay.run(seconds(240), 1.29);
   const ReplayOutcome outcome = replay.run(seconds(20), 1.29);
-  CHECK(outcome.urgent.share() > 0.9);
-  CHECK(outcome.credit() >= 0.72);
+  CHECK(outcome.urgent.inTimeFraction() > 0.9);
+  CHECK(outcome.weightedInTimeFraction() >= 0.72);
   CHECK(outcome.requestsPerSlot() < 2.6);
 }
 
-TEST_CASE("Off admits all and counts by priority; modes are told by name") {
+TEST_CASE("mode off admits all flows and counts them by priority; modes are recognized by name") {
   AdmissionReplay replay({"off"});
-  CHECK(replay.run(seconds(5), 2).rejected == 0);
+  CHECK(replay.run(seconds(5), 2).rejection_count == 0);
   const auto counters = replay.balancer(0).counters(ServiceId(1));
   CHECK(counters[0].offered > 0);
   CHECK(counters[0].offered == counters[0].admitted);
@@ -163,16 +164,16 @@
   CHECK_FALSE(LoadControl::isMode("guess"));
 }
 
-TEST_CASE("Changes of a level are logged at most once a second") {
+TEST_CASE("changes of the admission level are logged at most once per second") {
   LoadClock clock;
-  LevelLog log(clock);
+  AdmissionLog log(clock);
   LoadControlSettings settings;
   settings.mode = "response_time";
   LoadControl control(settings, clock, log);
   const ConfigurationView view(replayConfiguration(1));
   std::uint64_t flows = 0;
-  for (int tenth = 0; tenth < 150; ++tenth) {
-    const bool is_overload = tenth >= 50 && tenth < 100;
+  for (int step = 0; step < 150; ++step) {
+    const bool is_overload = step >= 50 && step < 100;
     for (int i = 0; i < 30; ++i) {
       if (control.admits(*view.service(ServiceId(1)), {}, FlowId{++flows, 3})) {
         control.onRequest(ServiceId(1));
