--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -168,7 +168,7 @@
                             time, *random};
   FlowDecider decider{FlowDeciderSettings(), time, placement, *this};
   FlowObserver observer{FlowObserverSettings(), time};
-  SilenceDetector silence{SilenceSettings(), time, log};
+  SilenceDetector silence{SilenceDetectorSettings(), time, log};
   CompactTokenCodec tokens{CompactTokenKey{9, 9, 9}};
   PacketRouter router{decider, silence, observer, tokens, *this, *this, log};
   CompactToken token;
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -79,7 +79,7 @@
 void PacketNode::connectObservations() {
   placement_.setColdServerLimit(&cold_limit_);
   placement_.setLocality(&locality_);
-  silence_.setServiceOf([this](BackendId backend) {
+  silence_.setServiceLookup([this](BackendId backend) {
     const ConfigurationView* configuration = decider_.configuration();
     const Backend* known = configuration == nullptr ? nullptr : configuration->backend(backend);
     return known == nullptr ? ServiceId() : known->service;
@@ -143,7 +143,8 @@
 
 std::optional<DeathEvidence> PacketNode::deathByOthers(BackendId backend,
                                                        std::uint16_t repetitions) const {
-  return settings_.uses.share_evidence ? evidence_.deathOf(backend, repetitions) : std::nullopt;
+  return settings_.uses.share_evidence ? evidence_.deathEvidence(backend, repetitions)
+                                       : std::nullopt;
 }
 
 void PacketNode::onHandshake(Duration duration) {
@@ -168,7 +169,7 @@
   response_times_.onResponse(backend, duration);
   if (const Backend* known = decider_.configuration()->backend(backend)) {
     placement_.onResponse(*known, duration);
-    if (timing != ResponseTiming::Repeated) {
+    if (timing != ResponseTiming::Retransmitted) {
       const Zone* own_zone = decider_.configuration()->zoneNamed(settings_.zone);
       const bool is_elsewhere = own_zone != nullptr && known->zone != own_zone->id;
       load_control_.onResponse(known->service, duration, timing == ResponseTiming::Prompt,
@@ -348,8 +349,8 @@
 
 void PacketNode::forgetEarlierRuns(const std::vector<BackendId>& restarted) {
   for (const BackendId backend : restarted) {
-    silence_.forget(backend);
-    response_times_.forget(backend);
+    silence_.remove(backend);
+    response_times_.remove(backend);
     observer_.onRestart(backend);
   }
 }
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -46,7 +46,7 @@
   FlowDeciderSettings decider;
   PlacementSettings placement;
   ObservationUses uses;
-  SilenceSettings silence;
+  SilenceDetectorSettings silence;
   SharedEvidenceSettings evidence;
   ResponseTimeSettings response_times;
   /** Its weights are taken from the placement's. */
--- a/src/flow/backend_load_table.cc
+++ b/src/flow/backend_load_table.cc
@@ -175,8 +175,8 @@
   if (free_places <= 0) {
     return true;
   }
-  const double share = std::max(kSmallestShare, free_places / live_balancers_);
-  return placedAndPresent(*entry) > share - kShareSlack;
+  const double max_placements = std::max(kSmallestShare, free_places / live_balancers_);
+  return placedAndPresent(*entry) > max_placements - kShareSlack;
 }
 
 bool BackendLoadTable::hasRoom(const Backend& backend) const {
@@ -263,9 +263,9 @@
 double BackendLoadTable::reportedRequestsNow(const Entry& entry) const {
   const double age =
       toSeconds(time_source_.monotonicTime() - entry.report_received_at) + entry.report_lag;
-  const double memory = kReportMemory * toSeconds(residence(entry.service));
+  const double time_constant = kReportMemory * toSeconds(residence(entry.service));
   const double beyond_usual = requestsIn(entry.report) - entry.usual_requests;
-  return entry.usual_requests + beyond_usual * std::exp(-age / memory);
+  return entry.usual_requests + beyond_usual * std::exp(-age / time_constant);
 }
 
 double BackendLoadTable::placedAndPresent(const Entry& entry) const {
--- a/src/flow/evidence_reporter.cc
+++ b/src/flow/evidence_reporter.cc
@@ -7,18 +7,18 @@
 namespace {
 
 /** More flows and repetitions of one server make no difference, and this fits into a byte. */
-constexpr std::size_t kMostCounted = 200;
+constexpr std::size_t kMaxReportedCount = 200;
 /** Time after which it is forgotten that a sign of life was reported, to bound the memory. */
-constexpr Duration kLifeReportedFor = seconds(10);
+constexpr Duration kReportedProgressTtl = seconds(10);
 
 }  // namespace
 
 EvidenceReporter::EvidenceReporter(EvidenceReporterSettings settings, std::string zone,
-                                   const SilenceDetector& own, const SharedEvidence& shared,
+                                   const SilenceDetector& local, const SharedEvidence& shared,
                                    const TimeSource& time_source)
     : settings_(settings),
       zone_(std::move(zone)),
-      own_(own),
+      local_(local),
       shared_(shared),
       time_source_(time_source) {}
 
@@ -36,9 +36,9 @@
     return std::nullopt;
   }
   report.zone = zone_;
-  report.survived_repetitions =
-      static_cast<std::uint8_t>(std::min<std::size_t>(own_.survivedRepetitions(), kMostCounted));
-  addUse(report);
+  report.survived_repetitions = static_cast<std::uint8_t>(
+      std::min<std::size_t>(local_.survivedRetransmissions(), kMaxReportedCount));
+  addUsage(report);
   return report;
 }
 
@@ -47,31 +47,32 @@
   if (found == reported_.end()) {
     return true;
   }
-  const SilenceObservation& told = found->second;
-  return seen.flows > told.flows || seen.repetitions > told.repetitions ||
-         seen.attempt_at - told.attempt_at >= settings_.repeat_after;
+  const SilenceObservation& last_reported = found->second;
+  return seen.flows > last_reported.flows || seen.retransmissions > last_reported.retransmissions ||
+         seen.last_attempt_at - last_reported.last_attempt_at >= settings_.repeat_interval;
 }
 
 void EvidenceReporter::addSilent(EvidenceReport& report) {
   const MonotonicTime now = time_source_.monotonicTime();
-  const std::vector<SilenceObservation> observations = own_.observations();
+  const std::vector<SilenceObservation> observations = local_.observations();
   std::unordered_map<BackendId, SilenceObservation> reported;
   for (const SilenceObservation& seen : observations) {
-    const bool is_told = isNew(seen) && report.silent.size() < kMaxServersInEvidence;
-    if (is_told) {
+    const bool is_reported = isNew(seen) && report.silent.size() < kMaxServersInEvidence;
+    if (is_reported) {
       report.silent.push_back(
-          {seen.backend, static_cast<std::uint8_t>(std::min(seen.flows, kMostCounted)),
-           static_cast<std::uint8_t>(std::min<std::size_t>(seen.repetitions, kMostCounted)),
-           toWireAge(now, seen.attempt_at), toWireAge(now, seen.life_at)});
+          {seen.backend, static_cast<std::uint8_t>(std::min(seen.flows, kMaxReportedCount)),
+           static_cast<std::uint8_t>(
+               std::min<std::size_t>(seen.retransmissions, kMaxReportedCount)),
+           toWireAge(now, seen.last_attempt_at), toWireAge(now, seen.last_progress_at)});
       reported[seen.backend] = seen;
     } else if (const auto before = reported_.find(seen.backend); before != reported_.end()) {
       reported[seen.backend] = before->second;
     }
   }
-  for (const auto& [backend, told] : reported_) {
-    const MonotonicTime life_at = own_.lifeAt(backend);
-    if (life_at > told.attempt_at) {
-      addLife(report, backend, life_at);
+  for (const auto& [backend, last_reported] : reported_) {
+    const MonotonicTime progress_at = local_.lastProgressAt(backend);
+    if (progress_at > last_reported.last_attempt_at) {
+      addProgress(report, backend, progress_at);
     }
   }
   reported_ = std::move(reported);
@@ -79,62 +80,64 @@
 
 void EvidenceReporter::addAlive(EvidenceReport& report) {
   const MonotonicTime now = time_source_.monotonicTime();
-  std::erase_if(life_reported_,
-                [&](const auto& entry) { return now - entry.second > kLifeReportedFor; });
-  for (const auto& [backend, told] : shared_.told()) {
-    const MonotonicTime life_at = own_.lifeAt(backend);
-    if (life_at > told.attempt_at) {
-      addLife(report, backend, life_at);
+  std::erase_if(progress_reported_at_,
+                [&](const auto& entry) { return now - entry.second > kReportedProgressTtl; });
+  for (const auto& [backend, silence] : shared_.reportedSilence()) {
+    const MonotonicTime progress_at = local_.lastProgressAt(backend);
+    if (progress_at > silence.last_attempt_at) {
+      addProgress(report, backend, progress_at);
     }
   }
 }
 
 void EvidenceReporter::addAliveZones(EvidenceReport& report) {
   const MonotonicTime now = time_source_.monotonicTime();
-  for (const ZoneId zone : shared_.zonesInDoubt()) {
-    const MonotonicTime objected_at = std::max(objected_at_[zone], shared_.objectedAt(zone));
+  for (const ZoneId zone : shared_.suspectZones()) {
+    const MonotonicTime objected_at = std::max(objected_at_[zone], shared_.lastObjectionAt(zone));
     const bool is_full = report.alive.size() >= kMaxServersInEvidence;
-    if (is_full || now - objected_at < settings_.objection_gap) {
+    if (is_full || now - objected_at < settings_.min_objection_interval) {
       continue;
     }
-    const BackendId answering = lastToAnswer(zone);
+    const BackendId answering = lastAnsweringBackend(zone);
     if (answering != BackendId()) {
       objected_at_[zone] = now;
-      report.alive.push_back({answering, toWireAge(now, own_.lifeAt(answering))});
+      report.alive.push_back({answering, toWireAge(now, local_.lastProgressAt(answering))});
     }
   }
 }
 
-BackendId EvidenceReporter::lastToAnswer(ZoneId zone) const {
+BackendId EvidenceReporter::lastAnsweringBackend(ZoneId zone) const {
   BackendId last;
-  MonotonicTime last_at = time_source_.monotonicTime() - settings_.life_gap;
-  for (const BackendId backend : own_.usedWithin(settings_.life_gap)) {
-    const MonotonicTime life_at = own_.lifeAt(backend);
-    if (shared_.zoneOf(backend) == zone && life_at >= last_at) {
+  MonotonicTime last_at = time_source_.monotonicTime() - settings_.min_progress_interval;
+  for (const BackendId backend : local_.usedWithin(settings_.min_progress_interval)) {
+    const MonotonicTime progress_at = local_.lastProgressAt(backend);
+    if (shared_.zoneOf(backend) == zone && progress_at >= last_at) {
       last = backend;
-      last_at = life_at;
+      last_at = progress_at;
     }
   }
   return last;
 }
 
-void EvidenceReporter::addLife(EvidenceReport& report, BackendId backend, MonotonicTime life_at) {
-  const auto told = life_reported_.find(backend);
-  const bool is_new = told == life_reported_.end() || life_at - told->second > settings_.life_gap;
+void EvidenceReporter::addProgress(EvidenceReport& report, BackendId backend,
+                                   MonotonicTime progress_at) {
+  const auto last_reported = progress_reported_at_.find(backend);
+  const bool is_new = last_reported == progress_reported_at_.end() ||
+                      progress_at - last_reported->second > settings_.min_progress_interval;
   if (is_new && report.alive.size() < kMaxServersInEvidence) {
-    life_reported_[backend] = life_at;
-    report.alive.push_back({backend, toWireAge(time_source_.monotonicTime(), life_at)});
+    progress_reported_at_[backend] = progress_at;
+    report.alive.push_back({backend, toWireAge(time_source_.monotonicTime(), progress_at)});
   }
 }
 
-void EvidenceReporter::addUse(EvidenceReport& report) const {
+void EvidenceReporter::addUsage(EvidenceReport& report) const {
   std::uint16_t in_use = 0;
   std::uint16_t silent = 0;
-  for (const BackendId backend : own_.usedWithin(settings_.in_use_for)) {
-    const bool is_silent = own_.isSuspect(backend);
-    const bool is_near = zone_id_ && shared_.zoneOf(backend) == *zone_id_;
-    report.servers_in_use += is_near ? 1 : 0;
-    report.servers_silent += is_near && is_silent ? 1 : 0;
+  for (const BackendId backend : local_.usedWithin(settings_.in_use_window)) {
+    const bool is_silent = local_.isSuspect(backend);
+    const bool is_local = zone_id_ && shared_.zoneOf(backend) == *zone_id_;
+    report.servers_in_use += is_local ? 1 : 0;
+    report.servers_silent += is_local && is_silent ? 1 : 0;
     ++in_use;
     silent += is_silent ? 1 : 0;
   }
--- a/src/flow/false_suspicions.h
+++ b/src/flow/false_suspicions.h
@@ -11,11 +11,11 @@
 /** When back ends that looked silent and then answered speak for overload. */
 struct FalseSuspicionSettings {
   /** Time for which one counts: a caller's attempt and its two retries end in 4.2 s. */
-  Duration memory = seconds(5);
+  Duration window = seconds(5);
   /** Back ends of a service; fewer may have failed, or lost a packet, each for itself. */
-  std::size_t least = 3;
+  std::size_t min_backends = 3;
   /** Share of the service's back ends in use; more than single servers fail at a time. */
-  double share = 0.2;
+  double min_fraction = 0.2;
 };
 
 /**
@@ -34,16 +34,16 @@
   std::size_t count(ServiceId service) const;
 
   /** @param in_use back ends of the service that are in use. */
-  bool areMany(ServiceId service, std::size_t in_use) const;
+  bool exceedThreshold(ServiceId service, std::size_t in_use) const;
 
  private:
   struct Answers {
     std::unordered_map<BackendId, MonotonicTime> last;
     /** All of them, the oldest first. */
-    std::deque<std::pair<MonotonicTime, BackendId>> in_order;
+    std::deque<std::pair<MonotonicTime, BackendId>> by_time;
   };
 
-  void forgetOld(Answers& answers) const;
+  void removeExpired(Answers& answers) const;
 
   const FalseSuspicionSettings settings_;
   const TimeSource& time_source_;
--- a/src/flow/flow_observer.cc
+++ b/src/flow/flow_observer.cc
@@ -24,7 +24,7 @@
 FlowObserver::FlowObserver(FlowObserverSettings settings, const TimeSource& time_source)
     : settings_(settings),
       time_source_(time_source),
-      flows_(std::max<std::size_t>(settings.size, 1)),
+      flows_(std::max<std::size_t>(settings.max_flows, 1)),
       in_flight_(time_source) {}
 
 const ObservedFlow* FlowObserver::find(const FlowId& flow) const {
@@ -40,9 +40,9 @@
   slot = ObservedFlow();
   slot.flow = packet.flow();
   slot.backend = backend;
-  in_flight_.begin(backend, slot.flow, settings_.opening_lifetime);
+  in_flight_.begin(backend, slot.flow, settings_.opening_ttl);
   slot.next_sequence = packet.sequence;
-  slot.progress_sequence = packet.sequence;
+  slot.sequence_at_progress = packet.sequence;
   slot.progress_at = time_source_.monotonicTime();
 }
 
@@ -56,28 +56,28 @@
     slot.flow = flow;
     slot.backend = backend;
     slot.next_sequence = end;
-    slot.progress_sequence = packet.sequence;
+    slot.sequence_at_progress = packet.sequence;
     slot.acknowledged = packet.acknowledged;
     slot.open = true;
     slot.progress_at = time_source_.monotonicTime();
     FlowObservation first_seen;
     if (packet.payload_bytes > 0) {
-      in_flight_.begin(backend, flow, settings_.request_lifetime);
+      in_flight_.begin(backend, flow, settings_.request_ttl);
       first_seen.begins_request = true;
     }
     return first_seen;
   }
-  const RequestNote request = noteRequest(slot, packet);
-  const bool repeats = packet.payload_bytes > 0 && !isAfter(end, slot.next_sequence);
+  const RequestObservation request = recordRequest(slot, packet);
+  const bool is_retransmission = packet.payload_bytes > 0 && !isAfter(end, slot.next_sequence);
   if (isAfter(end, slot.next_sequence)) {
     slot.next_sequence = end;
   }
-  const bool window_moved = isAfter(end, slot.progress_sequence + settings_.window_bytes);
+  const bool window_moved = isAfter(end, slot.sequence_at_progress + settings_.window_bytes);
   if (!slot.open || window_moved || isAfter(packet.acknowledged, slot.acknowledged)) {
-    FlowObservation observation = noteProgress(slot, packet);
+    FlowObservation observation = recordProgress(slot, packet);
     observation.response = request.response;
-    if (observation.repetitions > 0) {
-      observation.timing = ResponseTiming::Repeated;
+    if (observation.retransmissions > 0) {
+      observation.timing = ResponseTiming::Retransmitted;
     } else if (packet.closes) {
       observation.timing = ResponseTiming::Prompt;
     }
@@ -86,60 +86,61 @@
   }
   FlowObservation observation;
   observation.begins_request = request.begins;
-  if (repeats && noteRepetition(slot)) {
+  if (is_retransmission && recordRetransmission(slot)) {
     observation.evidence = FlowEvidence::Silence;
-    observation.repetitions = slot.repetitions;
+    observation.retransmissions = slot.retransmissions;
   }
   return observation;
 }
 
-FlowObserver::RequestNote FlowObserver::noteRequest(ObservedFlow& flow, const FlowPacket& packet) {
+FlowObserver::RequestObservation FlowObserver::recordRequest(ObservedFlow& flow,
+                                                             const FlowPacket& packet) {
   const MonotonicTime now = time_source_.monotonicTime();
   const bool is_answered = flow.open && flow.request_at != MonotonicTime() &&
                            isAfter(packet.acknowledged, flow.acknowledged);
-  RequestNote note;
-  note.response = is_answered ? now - flow.request_at : Duration::zero();
+  RequestObservation observation;
+  observation.response = is_answered ? now - flow.request_at : Duration::zero();
   if (is_answered) {
     flow.request_at = MonotonicTime();
     in_flight_.end(flow.backend, flow.flow);
   }
   if (packet.payload_bytes > 0 && flow.request_at == MonotonicTime()) {
     flow.request_at = now;
-    note.begins = true;
-    in_flight_.begin(flow.backend, flow.flow, settings_.request_lifetime);
+    observation.begins = true;
+    in_flight_.begin(flow.backend, flow.flow, settings_.request_ttl);
   }
-  return note;
+  return observation;
 }
 
-FlowObservation FlowObserver::noteProgress(ObservedFlow& flow, const FlowPacket& packet) {
+FlowObservation FlowObserver::recordProgress(ObservedFlow& flow, const FlowPacket& packet) {
   const MonotonicTime now = time_source_.monotonicTime();
   const Duration handshake = flow.open ? Duration::zero() : now - flow.progress_at;
   if (!flow.open) {
     // Callers open a flow when they have something to ask.
-    in_flight_.begin(flow.backend, flow.flow, settings_.request_lifetime);
+    in_flight_.begin(flow.backend, flow.flow, settings_.request_ttl);
   }
   flow.open = true;
   flow.acknowledged = packet.acknowledged;
-  flow.progress_sequence = flow.next_sequence;
+  flow.sequence_at_progress = flow.next_sequence;
   flow.progress_at = now;
   FlowObservation observation;
   observation.evidence = FlowEvidence::Progress;
   observation.handshake = handshake;
-  observation.repetitions = std::exchange(flow.repetitions, std::uint16_t{0});
+  observation.retransmissions = std::exchange(flow.retransmissions, std::uint16_t{0});
   return observation;
 }
 
-bool FlowObserver::noteRepetition(ObservedFlow& flow) const {
+bool FlowObserver::recordRetransmission(ObservedFlow& flow) const {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (flow.repeated_at <= behind_at_) {
-    flow.repetitions = 0;
+  if (flow.retransmitted_at <= behind_at_) {
+    flow.retransmissions = 0;
   }
-  const MonotonicTime last = std::max({flow.repeated_at, flow.progress_at, behind_at_});
-  if (now - last < settings_.repetition_gap) {
+  const MonotonicTime last = std::max({flow.retransmitted_at, flow.progress_at, behind_at_});
+  if (now - last < settings_.min_retransmission_interval) {
     return false;
   }
-  flow.repeated_at = now;
-  ++flow.repetitions;
+  flow.retransmitted_at = now;
+  ++flow.retransmissions;
   return true;
 }
 
@@ -149,10 +150,10 @@
       flow = ObservedFlow();
     }
   }
-  in_flight_.forget(backend);
+  in_flight_.remove(backend);
 }
 
-void FlowObserver::forget(const FlowId& flow) {
+void FlowObserver::remove(const FlowId& flow) {
   ObservedFlow& slot = slotOf(flow);
   if (slot.flow == flow) {
     in_flight_.end(slot.backend, flow);
--- a/src/flow/flow_observer.h
+++ b/src/flow/flow_observer.h
@@ -23,9 +23,9 @@
   /** The caller closes the flow, as callers do as soon as they have the answer. */
   Prompt,
   /** Other acknowledgements wait for a second packet of the answer, or for some time. */
-  Late,
+  Delayed,
   /** The request was sent again: the time shows what was lost, and no queue. */
-  Repeated,
+  Retransmitted,
 };
 
 /** What a later packet shows. */
@@ -34,10 +34,10 @@
   /** Time since the opening, where this packet ends the handshake; else zero. */
   Duration handshake{};
   /** Repetitions of the flow since its last progress, this one included. */
-  std::uint16_t repetitions = 0;
+  std::uint16_t retransmissions = 0;
   /** Time from the first data of a request, where this packet shows its answer; else zero. */
   Duration response{};
-  ResponseTiming timing = ResponseTiming::Late;
+  ResponseTiming timing = ResponseTiming::Delayed;
   /** The packet is the first of a request that passes here. */
   bool begins_request = false;
 };
@@ -45,17 +45,17 @@
 /** What is known of how callers send. */
 struct FlowObserverSettings {
   /** Flows remembered at most. */
-  std::size_t size = 4096;
+  std::size_t max_flows = 4096;
   /** Most bytes that a caller sends without an acknowledgement: a later byte shows that one came.
    */
   std::uint32_t window_bytes = 16 * 1200;
   /** Repeated packets closer together than this belong to one repetition. */
-  Duration repetition_gap = milliseconds(150);
+  Duration min_retransmission_interval = milliseconds(150);
   /** Longest time for which an opening counts as a request in flight without its handshake's end.
    */
-  Duration opening_lifetime = milliseconds(200);
+  Duration opening_ttl = milliseconds(200);
   /** Longest time for which a request counts as in flight without an answer. */
-  Duration request_lifetime = seconds(1);
+  Duration request_ttl = seconds(1);
 };
 
 /** What is remembered of a flow that passed here lately. */
@@ -66,12 +66,12 @@
   std::uint32_t next_sequence = 0;
   std::uint32_t acknowledged = 0;
   /** Number after the last byte sent when the last progress was seen. */
-  std::uint32_t progress_sequence = 0;
+  std::uint32_t sequence_at_progress = 0;
   /** Repetitions since the last progress. */
-  std::uint16_t repetitions = 0;
+  std::uint16_t retransmissions = 0;
   bool open = false;
   MonotonicTime progress_at;
-  MonotonicTime repeated_at;
+  MonotonicTime retransmitted_at;
   /** First data since the last part of an answer; unset for none. */
   MonotonicTime request_at;
 };
@@ -109,26 +109,26 @@
   void onBehind() { behind_at_ = time_source_.monotonicTime(); }
 
   /** Forgets a flow. */
-  void forget(const FlowId& flow);
+  void remove(const FlowId& flow);
 
  private:
   ObservedFlow& slotOf(const FlowId& flow);
   const ObservedFlow& slotOf(const FlowId& flow) const;
 
   /** What a packet shows of the request that its flow waits for. */
-  struct RequestNote {
+  struct RequestObservation {
     /** Time of the answer that the packet shows, or zero. */
     Duration response{};
     bool begins = false;
   };
 
   /** Notes data and answers. */
-  RequestNote noteRequest(ObservedFlow& flow, const FlowPacket& packet);
+  RequestObservation recordRequest(ObservedFlow& flow, const FlowPacket& packet);
 
-  FlowObservation noteProgress(ObservedFlow& flow, const FlowPacket& packet);
+  FlowObservation recordProgress(ObservedFlow& flow, const FlowPacket& packet);
 
   /** Notes data that was sent before. @return true if that is a repetition of its own. */
-  bool noteRepetition(ObservedFlow& flow) const;
+  bool recordRetransmission(ObservedFlow& flow) const;
 
   const FlowObserverSettings settings_;
   const TimeSource& time_source_;
--- a/src/flow/packet_router.cc
+++ b/src/flow/packet_router.cc
@@ -59,7 +59,7 @@
     return BackendId();
   }
   if (earlier != nullptr) {
-    silence_.onOpeningRepeated(earlier->backend, packet.flow());
+    silence_.onOpeningRetransmitted(earlier->backend, packet.flow());
     return earlier->backend;
   }
   // The first copy went through another node, which chose as this one would.
@@ -121,13 +121,13 @@
   const FlowObservation observation = learn(packet, backend.id);
   if (isSurelyGone(packet, backend, observation)) {
     reset(packet, Reason::BackendGone);
-    observer_.forget(packet.flow());
+    observer_.remove(packet.flow());
     return;
   }
   ++counters_.forwards;
   sender_.forwardPacket(backend, packet.token);
   if (packet.closes || packet.aborts) {
-    observer_.forget(packet.flow());
+    observer_.remove(packet.flow());
   }
 }
 
@@ -143,9 +143,9 @@
     host_.onResponse(backend, observation.response, observation.timing);
   }
   if (observation.evidence == FlowEvidence::Progress) {
-    silence_.onLife(backend, observation.repetitions);
+    silence_.onProgress(backend, observation.retransmissions);
   } else if (observation.evidence == FlowEvidence::Silence) {
-    silence_.onRepetition(backend, packet.flow(), observation.repetitions);
+    silence_.onRetransmission(backend, packet.flow(), observation.retransmissions);
   }
   return observation;
 }
@@ -155,10 +155,11 @@
   if (observation.evidence != FlowEvidence::Silence || !host_.resetsDeadFlows()) {
     return false;
   }
-  const bool is_gone_by_self = !host_.asksOthers() &&
-                               observation.repetitions >= silence_.repetitionsOfDead() &&
-                               silence_.isDead(backend.id);
-  return is_gone_by_self || isGoneByOthers(packet, backend, observation.repetitions);
+  const bool is_gone_by_self =
+      !host_.asksOthers() &&
+      observation.retransmissions >= silence_.retransmissionsToDeclareDead() &&
+      silence_.isDead(backend.id);
+  return is_gone_by_self || isGoneByOthers(packet, backend, observation.retransmissions);
 }
 
 bool PacketRouter::isGoneByOthers(const FlowPacket& packet, const Backend& backend,
--- a/src/flow/requests_in_flight.h
+++ b/src/flow/requests_in_flight.h
@@ -40,7 +40,7 @@
   void retain(const ConfigurationView& configuration);
 
   /** Forgets the requests at one back end. */
-  void forget(BackendId backend) { requests_.erase(backend); }
+  void remove(BackendId backend) { requests_.erase(backend); }
 
   /** @return the back ends that are remembered. */
   std::size_t backends() const { return requests_.size(); }
--- a/src/flow/response_times.cc
+++ b/src/flow/response_times.cc
@@ -52,7 +52,7 @@
   return found == slow_shares_.end() ? 1 : found->second;
 }
 
-void ResponseTimes::forget(BackendId backend) {
+void ResponseTimes::remove(BackendId backend) {
   records_.erase(backend);
   slow_shares_.erase(backend);
 }
--- a/src/flow/response_times.h
+++ b/src/flow/response_times.h
@@ -54,7 +54,7 @@
   double shareOf(BackendId backend) const override;
 
   /** Forgets the times of one back end. */
-  void forget(BackendId backend);
+  void remove(BackendId backend);
 
   /** Forgets back ends that are not known any more. */
   void retain(const ConfigurationView& configuration);
--- a/src/flow/retry_budget.h
+++ b/src/flow/retry_budget.h
@@ -9,7 +9,7 @@
 /** Tunables of a retry budget. */
 struct RetryBudgetSettings {
   /** Retries that each first try allows for. */
-  double share = 0.2;
+  double retries_per_attempt = 0.2;
   /** Retries a second that are allowed for without any first try. */
   double floor_per_second = 2;
   /** Most retries that may be saved up. */
@@ -29,7 +29,7 @@
         refilled_at_(time_source.monotonicTime()) {}
 
   /** Notes a first try. */
-  void onFirstTry() { add(settings_.share); }
+  void onFirstTry() { add(settings_.retries_per_attempt); }
 
   /** @return true if a retry may be made now; it is taken from the budget. */
   bool tryTake() {
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -7,14 +7,14 @@
 namespace {
 
 /** Longest time for which a sign of life is remembered: no evidence is older. */
-constexpr Duration kLifeMemory = seconds(10);
+constexpr Duration kProgressTtl = seconds(10);
 /**
  * Time for which an answer after repetitions that others report raises how many repetitions prove a
  * server dead: as long as SilenceSettings::slow_memory.
  */
-constexpr Duration kSurvivedMemory = seconds(60);
+constexpr Duration kSurvivedRetransmissionsTtl = seconds(60);
 /** A zone answers where a sign of life of it is not older: a node sees several a second. */
-constexpr Duration kZoneAnswers = milliseconds(500);
+constexpr Duration kZoneAnswerWindow = milliseconds(500);
 
 }  // namespace
 
@@ -46,8 +46,8 @@
   }
   for (const BackendId restarted : changes.restarted) {
     // Attempts that were reported before, and reports on their way, are about the earlier run.
-    told_.erase(restarted);
-    told_life_[restarted] = time_source_.monotonicTime();
+    reported_.erase(restarted);
+    reported_progress_[restarted] = time_source_.monotonicTime();
   }
   refresh();
 }
@@ -60,7 +60,7 @@
 
 void SharedEvidence::remove(BackendId backend) {
   const auto known = backends_.extract(backend);
-  if (!known.empty() && known.mapped().counts) {
+  if (!known.empty() && known.mapped().counts_for_service) {
     --service_sizes_[known.mapped().service];
   }
 }
@@ -68,7 +68,7 @@
 void SharedEvidence::onDigest(const EvidenceDigest& digest) {
   const MonotonicTime now = time_source_.monotonicTime();
   for (const ServerLife& alive : digest.alive) {
-    noteLife(alive.backend, fromWireAge(now, alive.age_ms));
+    recordProgress(alive.backend, fromWireAge(now, alive.age_ms));
     if (const auto zone = zoneOf(alive.backend)) {
       objections_[*zone] = std::max(objections_[*zone], fromWireAge(now, alive.age_ms));
     }
@@ -76,109 +76,114 @@
   for (const SummedSilence& summed : digest.silent) {
     const ServerSilence& seen = summed.seen;
     if (seen.life_age_ms != kNeverMilliseconds) {
-      noteLife(seen.backend, fromWireAge(now, seen.life_age_ms));
+      recordProgress(seen.backend, fromWireAge(now, seen.life_age_ms));
     }
-    const auto [entry, is_new] = told_.try_emplace(seen.backend);
-    ToldSilence& told = entry->second;
-    if (is_new || !isUnanswered(seen.backend, told)) {
-      told = ToldSilence();
-      told.first_told_at = now;
+    const auto [entry, is_new] = reported_.try_emplace(seen.backend);
+    ReportedSilence& reported = entry->second;
+    if (is_new || !isUnanswered(seen.backend, reported)) {
+      reported = ReportedSilence();
+      reported.first_reported_at = now;
     }
     // Digests may come from several balancers; the one with the most reports counts.
-    told.reporters = std::max<std::size_t>(told.reporters, summed.reporters);
-    told.flows = std::max<std::size_t>(told.flows, seen.flows);
-    told.repetitions = std::max<std::uint16_t>(told.repetitions, seen.repetitions);
-    told.attempt_at = std::max(told.attempt_at, fromWireAge(now, seen.attempt_age_ms));
+    reported.reporters = std::max<std::size_t>(reported.reporters, summed.reporters);
+    reported.flows = std::max<std::size_t>(reported.flows, seen.flows);
+    reported.retransmissions = std::max<std::uint16_t>(reported.retransmissions, seen.repetitions);
+    reported.last_attempt_at =
+        std::max(reported.last_attempt_at, fromWireAge(now, seen.attempt_age_ms));
   }
-  const bool is_forgotten = now - told_survived_at_ > kSurvivedMemory;
-  const bool is_more = digest.survived_repetitions >= told_survived_ || is_forgotten;
+  const bool is_expired = now - reported_survived_at_ > kSurvivedRetransmissionsTtl;
+  const bool is_more =
+      digest.survived_repetitions >= reported_survived_retransmissions_ || is_expired;
   if (digest.survived_repetitions > 0 && is_more) {
-    told_survived_ = digest.survived_repetitions;
-    told_survived_at_ = now;
+    reported_survived_retransmissions_ = digest.survived_repetitions;
+    reported_survived_at_ = now;
   }
   refresh();
 }
 
-void SharedEvidence::noteLife(BackendId backend, MonotonicTime life_at) {
-  const auto told = told_.find(backend);
+void SharedEvidence::recordProgress(BackendId backend, MonotonicTime progress_at) {
+  const auto reported = reported_.find(backend);
   const auto known = backends_.find(backend);
-  const bool was_unanswered = told != told_.end() && isUnanswered(backend, told->second);
-  MonotonicTime& told_life = told_life_[backend];
-  told_life = std::max(told_life, life_at);
-  if (was_unanswered && known != backends_.end() && life_at > told->second.attempt_at) {
+  const bool was_unanswered =
+      reported != reported_.end() && isUnanswered(backend, reported->second);
+  MonotonicTime& reported_progress = reported_progress_[backend];
+  reported_progress = std::max(reported_progress, progress_at);
+  if (was_unanswered && known != backends_.end() &&
+      progress_at > reported->second.last_attempt_at) {
     false_suspicions_.add(known->second.service, backend);
   }
 }
 
 bool SharedEvidence::isUnderPressure(ServiceId service) const {
   const auto size = service_sizes_.find(service);
-  return own_.isUnderPressure(service) ||
-         (size != service_sizes_.end() && false_suspicions_.areMany(service, size->second));
+  return local_.isUnderPressure(service) ||
+         (size != service_sizes_.end() && false_suspicions_.exceedThreshold(service, size->second));
 }
 
 void SharedEvidence::refresh() {
-  forgetOld();
-  believe();
-  believeZones();
+  removeExpired();
+  updateSuspects();
+  updateZonesOutOfReach();
 }
 
-void SharedEvidence::forgetOld() {
+void SharedEvidence::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
-  std::erase_if(told_life_, [&](const auto& life) { return now - life.second > kLifeMemory; });
-  std::erase_if(told_, [&](const auto& entry) {
-    return !backends_.contains(entry.first) || !isFresh(entry.second.attempt_at);
+  std::erase_if(reported_progress_,
+                [&](const auto& life) { return now - life.second > kProgressTtl; });
+  std::erase_if(reported_, [&](const auto& entry) {
+    return !backends_.contains(entry.first) || !isCurrent(entry.second.last_attempt_at);
   });
 }
 
-bool SharedEvidence::isUnanswered(BackendId backend, const ToldSilence& told) const {
-  return lifeOf(backend) <= told.attempt_at;
+bool SharedEvidence::isUnanswered(BackendId backend, const ReportedSilence& reported) const {
+  return lastProgressOf(backend) <= reported.last_attempt_at;
 }
 
-void SharedEvidence::believe() {
+void SharedEvidence::updateSuspects() {
   std::unordered_map<ServiceId, std::size_t> suspects;
   std::set<BackendId> named;
-  for (const auto& [backend, told] : told_) {
-    if (told.reporters >= settings_.reporters_needed && isUnanswered(backend, told)) {
+  for (const auto& [backend, reported] : reported_) {
+    if (reported.reporters >= settings_.min_reporters && isUnanswered(backend, reported)) {
       ++suspects[backends_.at(backend).service];
       named.insert(backend);
     }
   }
-  const auto is_beyond_share = [&](BackendId backend) {
+  const auto exceeds_max_fraction = [&](BackendId backend) {
     const ServiceId service = backends_.at(backend).service;
     const auto size = static_cast<double>(service_sizes_.at(service));
-    return static_cast<double>(suspects[service]) > settings_.max_share * size;
+    return static_cast<double>(suspects[service]) > settings_.max_suspect_fraction * size;
   };
-  std::erase_if(named, is_beyond_share);
+  std::erase_if(named, exceeds_max_fraction);
   for (const BackendId backend : named) {
-    if (!believed_.contains(backend)) {
-      const ToldSilence& told = told_.at(backend);
-      log_.write(
-          LogLevel::Info, "flow", "backend_suspected_by_others",
-          {{"backend_id", backend.value()},
-           {"reporters", static_cast<std::uint64_t>(told.reporters)},
-           {"silent_flows", static_cast<std::uint64_t>(told.flows)},
-           {"attempt_age_ms", toMilliseconds(time_source_.monotonicTime() - told.attempt_at)}});
+    if (!suspects_.contains(backend)) {
+      const ReportedSilence& reported = reported_.at(backend);
+      log_.write(LogLevel::Info, "flow", "backend_suspected_by_others",
+                 {{"backend_id", backend.value()},
+                  {"reporters", static_cast<std::uint64_t>(reported.reporters)},
+                  {"silent_flows", static_cast<std::uint64_t>(reported.flows)},
+                  {"attempt_age_ms",
+                   toMilliseconds(time_source_.monotonicTime() - reported.last_attempt_at)}});
     }
   }
-  believed_ = std::move(named);
+  suspects_ = std::move(named);
 }
 
-void SharedEvidence::believeZones() {
+void SharedEvidence::updateZonesOutOfReach() {
   std::map<ZoneId, MonotonicTime> zones_out;
-  for (const ZoneId zone : zonesInDoubt()) {
+  for (const ZoneId zone : suspectZones()) {
     if (isZoneSilent(zone)) {
-      const auto before = zones_out_.find(zone);
-      const bool is_new = before == zones_out_.end();
+      const auto before = zones_out_of_reach_.find(zone);
+      const bool is_new = before == zones_out_of_reach_.end();
       zones_out[zone] = is_new ? time_source_.monotonicTime() : before->second;
     }
   }
-  if (namesOf(zones_out) != namesOf(zones_out_)) {
+  if (namesOf(zones_out) != namesOf(zones_out_of_reach_)) {
     log_.write(LogLevel::Info, "flow", "zones_out_of_reach",
                {{"zones", namesOf(zones_out)},
-                {"zones_before", namesOf(zones_out_)},
-                {"servers_named", static_cast<std::uint64_t>(told_.size())}});
+                {"zones_before", namesOf(zones_out_of_reach_)},
+                {"servers_named", static_cast<std::uint64_t>(reported_.size())}});
   }
-  zones_out_ = std::move(zones_out);
+  zones_out_of_reach_ = std::move(zones_out);
 }
 
 std::string SharedEvidence::namesOf(const std::map<ZoneId, MonotonicTime>& zones) const {
@@ -190,13 +195,13 @@
   return names;
 }
 
-std::set<ZoneId> SharedEvidence::zonesInDoubt() const {
+std::set<ZoneId> SharedEvidence::suspectZones() const {
   std::unordered_map<ZoneId, std::size_t> named;
   std::set<ZoneId> zones;
-  for (const auto& [backend, told] : told_) {
+  for (const auto& [backend, reported] : reported_) {
     const ZoneId zone = backends_.at(backend).zone;
-    named[zone] += isUnanswered(backend, told) ? 1 : 0;
-    if (named[zone] >= settings_.servers_of_zone) {
+    named[zone] += isUnanswered(backend, reported) ? 1 : 0;
+    if (named[zone] >= settings_.min_silent_backends_of_zone) {
       zones.insert(zone);
     }
   }
@@ -205,124 +210,127 @@
 
 bool SharedEvidence::isZoneSilent(ZoneId zone) const {
   const MonotonicTime now = time_source_.monotonicTime();
-  const bool answers_lately = now - lastLifeIn(zone) < settings_.zone_silence ||
-                              now - objectedAt(zone) < settings_.objection_lifetime;
+  const bool answers_lately = now - lastProgressIn(zone) < settings_.min_zone_silence ||
+                              now - lastObjectionAt(zone) < settings_.objection_ttl;
   if (answers_lately || !otherZoneAnswers(zone)) {
     return false;
   }
-  bool seen_by_self = false;
-  bool seen_by_another = false;
-  for (const auto& [backend, told] : told_) {
-    if (backends_.at(backend).zone == zone && isUnanswered(backend, told)) {
-      const bool by_self = own_.isSuspect(backend);
-      seen_by_self = seen_by_self || by_self;
-      seen_by_another = seen_by_another || !by_self || told.reporters >= settings_.reporters_needed;
+  bool suspected_locally = false;
+  bool suspected_by_peer = false;
+  for (const auto& [backend, reported] : reported_) {
+    if (backends_.at(backend).zone == zone && isUnanswered(backend, reported)) {
+      const bool is_local_suspect = local_.isSuspect(backend);
+      suspected_locally = suspected_locally || is_local_suspect;
+      suspected_by_peer =
+          suspected_by_peer || !is_local_suspect || reported.reporters >= settings_.min_reporters;
     }
   }
-  return seen_by_self && seen_by_another;
+  return suspected_locally && suspected_by_peer;
 }
 
-MonotonicTime SharedEvidence::objectedAt(ZoneId zone) const {
+MonotonicTime SharedEvidence::lastObjectionAt(ZoneId zone) const {
   const auto found = objections_.find(zone);
   return found == objections_.end() ? MonotonicTime() : found->second;
 }
 
-MonotonicTime SharedEvidence::lastLifeIn(ZoneId zone) const {
+MonotonicTime SharedEvidence::lastProgressIn(ZoneId zone) const {
   MonotonicTime last;
   for (const auto& [backend, known] : backends_) {
     if (known.zone == zone) {
-      last = std::max(last, lifeOf(backend));
+      last = std::max(last, lastProgressOf(backend));
     }
   }
   return last;
 }
 
 bool SharedEvidence::otherZoneAnswers(ZoneId zone) const {
-  const MonotonicTime earliest = time_source_.monotonicTime() - kZoneAnswers;
+  const MonotonicTime earliest = time_source_.monotonicTime() - kZoneAnswerWindow;
   return std::any_of(backends_.begin(), backends_.end(), [&](const auto& entry) {
-    return entry.second.zone != zone && own_.lifeAt(entry.first) >= earliest;
+    return entry.second.zone != zone && local_.lastProgressAt(entry.first) >= earliest;
   });
 }
 
 bool SharedEvidence::isSuspect(BackendId backend) const {
-  if (own_.isSuspect(backend)) {
+  if (local_.isSuspect(backend)) {
     return true;
   }
-  if (!believed_.contains(backend)) {
+  if (!suspects_.contains(backend)) {
     return false;
   }
-  const Duration silent_for = time_source_.monotonicTime() - lifeOf(backend);
-  return silent_for >= settings_.dead_after || !isUnderPressure(backends_.at(backend).service);
+  const Duration silent_for = time_source_.monotonicTime() - lastProgressOf(backend);
+  return silent_for >= settings_.min_silence || !isUnderPressure(backends_.at(backend).service);
 }
 
 bool SharedEvidence::isOutOfReach(BackendId backend) const {
-  if (zones_out_.empty()) {
+  if (zones_out_of_reach_.empty()) {
     return false;
   }
   const auto known = backends_.find(backend);
-  return known != backends_.end() && zones_out_.contains(known->second.zone);
+  return known != backends_.end() && zones_out_of_reach_.contains(known->second.zone);
 }
 
-std::optional<DeathEvidence> SharedEvidence::deathOf(BackendId backend,
-                                                     std::uint16_t repetitions) const {
+std::optional<DeathEvidence> SharedEvidence::deathEvidence(BackendId backend,
+                                                           std::uint16_t retransmissions) const {
   const auto known = backends_.find(backend);
-  if (repetitions == 0 || known == backends_.end() || isUnderPressure(known->second.service)) {
+  if (retransmissions == 0 || known == backends_.end() || isUnderPressure(known->second.service)) {
     return std::nullopt;
   }
-  const auto by_zone = deathOfZone(backend, repetitions);
-  return by_zone ? by_zone : deathOfServer(backend, repetitions);
+  const auto by_zone = zoneDeathEvidence(backend, retransmissions);
+  return by_zone ? by_zone : backendDeathEvidence(backend, retransmissions);
 }
 
-std::optional<DeathEvidence> SharedEvidence::deathOfZone(BackendId backend,
-                                                         std::uint16_t repetitions) const {
+std::optional<DeathEvidence> SharedEvidence::zoneDeathEvidence(
+    BackendId backend, std::uint16_t retransmissions) const {
   const auto zone = zoneOf(backend);
-  const auto out = zone ? zones_out_.find(*zone) : zones_out_.end();
-  if (out == zones_out_.end() || repetitions < repetitionsNeeded()) {
+  const auto out = zone ? zones_out_of_reach_.find(*zone) : zones_out_of_reach_.end();
+  if (out == zones_out_of_reach_.end() || retransmissions < retransmissionsToDeclareDead()) {
     return std::nullopt;
   }
   const MonotonicTime now = time_source_.monotonicTime();
-  const MonotonicTime life_at = lastLifeIn(*zone);
-  const Duration silent_for = now - std::max(life_at, behind_at_);
-  const MonotonicTime told_since = std::max(out->second, behind_at_);
-  if (silent_for < settings_.dead_after || now - told_since < settings_.objection_time) {
+  const MonotonicTime progress_at = lastProgressIn(*zone);
+  const Duration silent_for = now - std::max(progress_at, behind_at_);
+  const MonotonicTime out_of_reach_since = std::max(out->second, behind_at_);
+  if (silent_for < settings_.min_silence || now - out_of_reach_since < settings_.reset_delay) {
     return std::nullopt;
   }
-  const bool has_shown_life = life_at != MonotonicTime();
+  const bool has_shown_life = progress_at != MonotonicTime();
   DeathEvidence evidence{true, 0, 0, has_shown_life ? silent_for : Duration::zero()};
-  for (const auto& [other, told] : told_) {
+  for (const auto& [other, reported] : reported_) {
     if (zoneOf(other) == zone) {
-      evidence.reporters = std::max(evidence.reporters, told.reporters);
-      evidence.flows += told.flows;
+      evidence.reporters = std::max(evidence.reporters, reported.reporters);
+      evidence.flows += reported.flows;
     }
   }
   return evidence;
 }
 
-std::optional<DeathEvidence> SharedEvidence::deathOfServer(BackendId backend,
-                                                           std::uint16_t repetitions) const {
-  if (!believed_.contains(backend)) {
+std::optional<DeathEvidence> SharedEvidence::backendDeathEvidence(
+    BackendId backend, std::uint16_t retransmissions) const {
+  if (!suspects_.contains(backend)) {
     return std::nullopt;
   }
   const MonotonicTime now = time_source_.monotonicTime();
-  const ToldSilence& told = told_.at(backend);
-  const MonotonicTime life_at = lifeOf(backend);
+  const ReportedSilence& reported = reported_.at(backend);
+  const MonotonicTime progress_at = lastProgressOf(backend);
   // By the flow's own repetitions: one that others answer must not be reset for their losses.
   const bool is_certain =
-      repetitions >= repetitionsNeeded() && told.flows >= settings_.flows_of_dead &&
-      now - std::max(life_at, behind_at_) >= settings_.dead_after &&
-      now - std::max(told.first_told_at, behind_at_) >= settings_.objection_time &&
-      !own_.manyLookSilent();
+      retransmissions >= retransmissionsToDeclareDead() &&
+      reported.flows >= settings_.min_silent_flows &&
+      now - std::max(progress_at, behind_at_) >= settings_.min_silence &&
+      now - std::max(reported.first_reported_at, behind_at_) >= settings_.reset_delay &&
+      !local_.isSilenceWidespread();
   if (!is_certain) {
     return std::nullopt;
   }
-  return DeathEvidence{false, told.reporters, told.flows,
-                       life_at == MonotonicTime() ? Duration::zero() : now - life_at};
+  return DeathEvidence{false, reported.reporters, reported.flows,
+                       progress_at == MonotonicTime() ? Duration::zero() : now - progress_at};
 }
 
-std::uint16_t SharedEvidence::repetitionsNeeded() const {
-  const bool remembers = time_source_.monotonicTime() - told_survived_at_ <= kSurvivedMemory;
-  const std::uint16_t survived = remembers ? told_survived_ : std::uint16_t{0};
-  return std::max<std::uint16_t>(own_.repetitionsOfDead(), survived + 1);
+std::uint16_t SharedEvidence::retransmissionsToDeclareDead() const {
+  const bool is_current =
+      time_source_.monotonicTime() - reported_survived_at_ <= kSurvivedRetransmissionsTtl;
+  const std::uint16_t survived = is_current ? reported_survived_retransmissions_ : std::uint16_t{0};
+  return std::max<std::uint16_t>(local_.retransmissionsToDeclareDead(), survived + 1);
 }
 
 std::optional<ZoneId> SharedEvidence::zoneOf(BackendId backend) const {
@@ -330,14 +338,15 @@
   return known == backends_.end() ? std::nullopt : std::optional<ZoneId>(known->second.zone);
 }
 
-MonotonicTime SharedEvidence::lifeOf(BackendId backend) const {
-  const auto told = told_life_.find(backend);
-  const MonotonicTime told_at = told == told_life_.end() ? MonotonicTime() : told->second;
-  return std::max(told_at, own_.lifeAt(backend));
+MonotonicTime SharedEvidence::lastProgressOf(BackendId backend) const {
+  const auto reported = reported_progress_.find(backend);
+  const MonotonicTime reported_at =
+      reported == reported_progress_.end() ? MonotonicTime() : reported->second;
+  return std::max(reported_at, local_.lastProgressAt(backend));
 }
 
-bool SharedEvidence::isFresh(MonotonicTime attempt_at) const {
-  return time_source_.monotonicTime() - attempt_at <= settings_.fresh_for;
+bool SharedEvidence::isCurrent(MonotonicTime last_attempt_at) const {
+  return time_source_.monotonicTime() - last_attempt_at <= settings_.attempt_ttl;
 }
 
 }  // namespace lugfork
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -14,33 +14,33 @@
 /** Bounds within which a node believes what others have seen. */
 struct SharedEvidenceSettings {
   /** Time after the last unanswered attempt for which it counts: callers give up after some 2 s. */
-  Duration fresh_for = milliseconds(1500);
+  Duration attempt_ttl = milliseconds(1500);
   /** Different balancers that must name a back end: one alone may be cut off or overloaded. */
-  std::size_t reporters_needed = 2;
+  std::size_t min_reporters = 2;
   /** Largest share of a service that reports of others take out; above it they are ignored. */
-  double max_share = 0.5;
+  double max_suspect_fraction = 0.5;
   /** Flows, over all reporters, that must repeat themselves before a back end is taken for dead. */
-  std::size_t flows_of_dead = 3;
+  std::size_t min_silent_flows = 3;
   /** Shortest time without a sign of life to anybody before a back end is taken for dead. */
-  Duration dead_after = milliseconds(500);
+  Duration min_silence = milliseconds(500);
   /** Time that others have to object before open flows are reset: two rounds of reports. */
-  Duration objection_time = milliseconds(250);
+  Duration reset_delay = milliseconds(250);
   /** Silent servers of one zone that make all of it suspect. */
-  std::size_t servers_of_zone = 3;
+  std::size_t min_silent_backends_of_zone = 3;
   /** Shortest time without any sign of life from a zone before all of it is suspect. */
-  Duration zone_silence = milliseconds(300);
+  Duration min_zone_silence = milliseconds(300);
   /** Time for which another balancer's report that a zone answers keeps it from being suspect. */
-  Duration objection_lifetime = seconds(1);
+  Duration objection_ttl = seconds(1);
   FalseSuspicionSettings false_suspicions;
 };
 
 /** What other balancers have reported of a silent back end. */
-struct ToldSilence {
+struct ReportedSilence {
   std::size_t reporters = 0;
   std::size_t flows = 0;
-  std::uint16_t repetitions = 0;
-  MonotonicTime attempt_at;
-  MonotonicTime first_told_at;
+  std::uint16_t retransmissions = 0;
+  MonotonicTime last_attempt_at;
+  MonotonicTime first_reported_at;
 };
 
 /** Why a back end is taken for dead, for logs. */
@@ -59,9 +59,9 @@
  */
 class SharedEvidence : public BackendSuspicion {
  public:
-  SharedEvidence(SharedEvidenceSettings settings, const SilenceDetector& own,
+  SharedEvidence(SharedEvidenceSettings settings, const SilenceDetector& local,
                  const TimeSource& time_source, EventLog& log)
-      : settings_(settings), own_(own), time_source_(time_source), log_(log) {}
+      : settings_(settings), local_(local), time_source_(time_source), log_(log) {}
 
   /** Takes over what has changed in the configuration in force. */
   void onConfigurationChanged(const ConfigurationChanges& changes,
@@ -83,75 +83,80 @@
    * @param repetitions of the flow at hand, which must not have been answered itself.
    * @return why reports of others prove the back end of an open flow dead, or nothing.
    */
-  std::optional<DeathEvidence> deathOf(BackendId backend, std::uint16_t repetitions) const;
+  std::optional<DeathEvidence> deathEvidence(BackendId backend,
+                                             std::uint16_t retransmissions) const;
 
   /** @return the back ends that others report as silent. */
-  const std::unordered_map<BackendId, ToldSilence>& told() const { return told_; }
+  const std::unordered_map<BackendId, ReportedSilence>& reportedSilence() const {
+    return reported_;
+  }
 
   /** @return the zone of a back end that is known, or nothing. */
   std::optional<ZoneId> zoneOf(BackendId backend) const;
 
   /** @return zones with so many servers reported silent that the whole zone may be cut off. */
-  std::set<ZoneId> zonesInDoubt() const;
+  std::set<ZoneId> suspectZones() const;
 
   /** @return when a server of the zone last answered, as digests say; unset for never. */
-  MonotonicTime objectedAt(ZoneId zone) const;
+  MonotonicTime lastObjectionAt(ZoneId zone) const;
 
-  std::size_t suspectsByOthers() const { return believed_.size(); }
-  std::size_t zonesOutOfReach() const { return zones_out_.size(); }
+  std::size_t suspectsByPeers() const { return suspects_.size(); }
+  std::size_t zonesOutOfReach() const { return zones_out_of_reach_.size(); }
 
  private:
   struct KnownBackend {
     ZoneId zone;
     ServiceId service;
     /** It is declared and counts to its service's size. */
-    bool counts = false;
+    bool counts_for_service = false;
   };
 
   void put(const Backend& backend);
   void remove(BackendId backend);
 
-  MonotonicTime lifeOf(BackendId backend) const;
-  bool isFresh(MonotonicTime attempt_at) const;
+  MonotonicTime lastProgressOf(BackendId backend) const;
+  bool isCurrent(MonotonicTime last_attempt_at) const;
   /** @return true where nobody has got an answer since the last unanswered attempt. */
-  bool isUnanswered(BackendId backend, const ToldSilence& told) const;
+  bool isUnanswered(BackendId backend, const ReportedSilence& reported) const;
   /** @return true where silence of the service's back ends proves nothing. */
   bool isUnderPressure(ServiceId service) const;
   /** Takes signs of life that others report. */
-  void noteLife(BackendId backend, MonotonicTime life_at);
-  void forgetOld();
+  void recordProgress(BackendId backend, MonotonicTime progress_at);
+  void removeExpired();
   /** Decides which servers are passed over because of reports, and logs those that are new. */
-  void believe();
+  void updateSuspects();
   /** Decides which zones are out of reach as a whole, and logs a change. */
-  void believeZones();
+  void updateZonesOutOfReach();
   std::string namesOf(const std::map<ZoneId, MonotonicTime>& zones) const;
-  std::optional<DeathEvidence> deathOfZone(BackendId backend, std::uint16_t repetitions) const;
-  std::optional<DeathEvidence> deathOfServer(BackendId backend, std::uint16_t repetitions) const;
-  std::uint16_t repetitionsNeeded() const;
+  std::optional<DeathEvidence> zoneDeathEvidence(BackendId backend,
+                                                 std::uint16_t retransmissions) const;
+  std::optional<DeathEvidence> backendDeathEvidence(BackendId backend,
+                                                    std::uint16_t retransmissions) const;
+  std::uint16_t retransmissionsToDeclareDead() const;
   /** @return true where enough speaks for it that none of the zone's servers can be reached. */
   bool isZoneSilent(ZoneId zone) const;
-  MonotonicTime lastLifeIn(ZoneId zone) const;
+  MonotonicTime lastProgressIn(ZoneId zone) const;
   bool otherZoneAnswers(ZoneId zone) const;
 
   const SharedEvidenceSettings settings_;
-  const SilenceDetector& own_;
+  const SilenceDetector& local_;
   const TimeSource& time_source_;
   EventLog& log_;
   std::unordered_map<BackendId, KnownBackend> backends_;
   std::unordered_map<ServiceId, std::size_t> service_sizes_;
   std::unordered_map<ZoneId, std::string> zone_names_;
-  std::unordered_map<BackendId, ToldSilence> told_;
+  std::unordered_map<BackendId, ReportedSilence> reported_;
   /** Last signs of life that others reported. */
-  std::unordered_map<BackendId, MonotonicTime> told_life_;
+  std::unordered_map<BackendId, MonotonicTime> reported_progress_;
   std::unordered_map<ZoneId, MonotonicTime> objections_;
   /** Back ends that several had reported and that then answered somebody. */
   FalseSuspicions false_suspicions_{settings_.false_suspicions, time_source_};
   MonotonicTime behind_at_;
-  std::uint16_t told_survived_ = 0;
-  MonotonicTime told_survived_at_;
-  std::set<BackendId> believed_;
+  std::uint16_t reported_survived_retransmissions_ = 0;
+  MonotonicTime reported_survived_at_;
+  std::set<BackendId> suspects_;
   /** Zones that can't be reached, and since when that is believed. */
-  std::map<ZoneId, MonotonicTime> zones_out_;
+  std::map<ZoneId, MonotonicTime> zones_out_of_reach_;
 };
 
 /** @return the age as messages carry it; of a time that is unset, that it never was. */
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -236,7 +236,7 @@
   page.addGauge("lugfork_suspect_servers", suspects, static_cast<double>(node.suspectsBySelf()),
                 {{"seen_by", "self"}});
   page.addGauge("lugfork_suspect_servers", suspects,
-                static_cast<double>(node.sharedEvidence().suspectsByOthers()),
+                static_cast<double>(node.sharedEvidence().suspectsByPeers()),
                 {{"seen_by", "others"}});
   page.addGauge("lugfork_zones_out_of_reach", "Zones none of whose servers can be reached.",
                 static_cast<double>(node.sharedEvidence().zonesOutOfReach()));
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -169,7 +169,7 @@
   for (std::size_t index = 0; index < 6; ++index) {
     CHECK(fleet.nodes[index]->evidence.shared.isOutOfReach(BackendId(20)));
     CHECK_FALSE(fleet.nodes[index]->evidence.shared.isOutOfReach(BackendId(10)));
-    CHECK(fleet.nodes[6 + index]->evidence.shared.told().empty());
+    CHECK(fleet.nodes[6 + index]->evidence.shared.reportedSilence().empty());
   }
 }
 
@@ -220,7 +220,7 @@
     for (const auto& node : fleet.nodes) {
       const BackendId backend(1 + static_cast<std::uint32_t>(second) % 30);
       node->evidence.own.onOpening(backend);
-      node->evidence.own.onLife(backend);
+      node->evidence.own.onProgress(backend);
     }
     fleet.scheduler.advance(seconds(1));
   }
--- a/tests/flow/evidence_fixture.h
+++ b/tests/flow/evidence_fixture.h
@@ -53,16 +53,17 @@
 
   /** A flow of this node's gets no answer from the server. */
   void loses(std::uint32_t server, std::uint16_t port = 1, std::uint16_t repetitions = 0) {
-    own.onRepetition(BackendId(server), flowIdOf({kCaller.address, port}, kListen), repetitions);
+    own.onRetransmission(BackendId(server), flowIdOf({kCaller.address, port}, kListen),
+                         repetitions);
   }
 
-  void isAnswered(std::uint32_t server) { own.onLife(BackendId(server)); }
+  void isAnswered(std::uint32_t server) { own.onProgress(BackendId(server)); }
 
   bool suspects(std::uint32_t server) const { return shared.isSuspect(BackendId(server)); }
 
   ManualTimeSource& time;
   NullEventLog log;
-  SilenceDetector own{SilenceSettings(), time, log};
+  SilenceDetector own{SilenceDetectorSettings(), time, log};
   SharedEvidence shared{SharedEvidenceSettings(), own, time, log};
   EvidenceReporter reporter;
 };
--- a/tests/flow/evidence_reporter_test.cc
+++ b/tests/flow/evidence_reporter_test.cc
@@ -24,7 +24,7 @@
     harness.time.elapsed += milliseconds(100);
     harness.node.shared.refresh();
     reports += harness.node.reporter.next() ? 1 : 0;
-    CHECK(harness.node.shared.suspectsByOthers() == 0);
+    CHECK(harness.node.shared.suspectsByPeers() == 0);
   }
   CHECK(reports == 0);
 }
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -25,7 +25,8 @@
 
 inline FalseSuspicionSettings gateOf(const Ways& ways) {
   FalseSuspicionSettings settings;
-  settings.least = ways.has_gate ? settings.least : std::numeric_limits<std::size_t>::max();
+  settings.min_backends =
+      ways.has_gate ? settings.min_backends : std::numeric_limits<std::size_t>::max();
   return settings;
 }
 
@@ -48,7 +49,7 @@
         decider(FlowDeciderSettings(), clock, placement, *this),
         observer(FlowObserverSettings(), clock),
         router(decider, silence, observer, tokens, *this, *this, log) {
-    silence.setServiceOf([](BackendId) { return ServiceId(1); });
+    silence.setServiceLookup([](BackendId) { return ServiceId(1); });
     ConfigurationChanges all;
     all.services = true;
     for (const Backend& backend : view->document().backends) {
@@ -89,7 +90,7 @@
   void onResponse(BackendId, Duration, ResponseTiming) override {}
   std::optional<DeathEvidence> deathByOthers(BackendId backend,
                                              std::uint16_t repetitions) const override {
-    return ways.asks_others ? shared.deathOf(backend, repetitions) : std::nullopt;
+    return ways.asks_others ? shared.deathEvidence(backend, repetitions) : std::nullopt;
   }
 
   const Ways ways;
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -86,7 +86,7 @@
                             time, *random};
   FlowDecider decider{FlowDeciderSettings(), time, placement, *this};
   FlowObserver observer{FlowObserverSettings{65536}, time};
-  SilenceDetector silence{SilenceSettings(), time, log};
+  SilenceDetector silence{SilenceDetectorSettings(), time, log};
   CompactTokenCodec tokens{CompactTokenKey{9, 9, 9}};
   PacketRouter router{decider, silence, observer, tokens, *this, *this, log};
   Reason blocked_by = Reason::None;
@@ -261,7 +261,7 @@
   const bool slow_before = GENERATE(false, true);
   if (slow_before) {
     // A living back end answered after as many repetitions: that proves nothing any more.
-    harness.silence.onLife(BackendId(20), 2);
+    harness.silence.onProgress(BackendId(20), 2);
   }
   for (const int wait_ms : {0, 200}) {
     harness.time.elapsed += milliseconds(wait_ms);
@@ -482,7 +482,7 @@
   harness.data(1, token, 1301, 900);
   CHECK(harness.responses == std::vector<Duration>{milliseconds(50), milliseconds(7)});
   CHECK(harness.requests == 3);
-  CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Late));
+  CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Delayed));
 }
 
 TEST_CASE("the time of an answer to a request that was sent again shows no queue",
@@ -495,7 +495,7 @@
   harness.time.elapsed += milliseconds(20);
   harness.data(1, token, 1101, 600);
   REQUIRE(harness.responses.size() == 1);
-  CHECK(harness.timings == std::vector<ResponseTiming>{ResponseTiming::Repeated});
+  CHECK(harness.timings == std::vector<ResponseTiming>{ResponseTiming::Retransmitted});
 }
 
 TEST_CASE("the end of a handshake is timed", "[packet_router]") {
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -83,7 +83,7 @@
 TEST_CASE("a flow that ends no longer counts", "[requests_in_flight]") {
   ObserverHarness harness;
   harness.open(5000, kFirst);
-  harness.observer.forget(packetOf(5000).flow());
+  harness.observer.remove(packetOf(5000).flow());
   CHECK(harness.count(kFirst) == 0);
 }
 
--- a/tests/flow/shared_evidence_test.cc
+++ b/tests/flow/shared_evidence_test.cc
@@ -23,7 +23,7 @@
   }
 
   bool isDead(std::uint32_t server, std::uint16_t repetitions = 2) const {
-    return node.shared.deathOf(BackendId(server), repetitions).has_value();
+    return node.shared.deathEvidence(BackendId(server), repetitions).has_value();
   }
 
   ManualTimeSource time;
@@ -66,7 +66,7 @@
   CHECK(harness.node.suspects(5));
   harness.advance(200);
   CHECK_FALSE(harness.node.suspects(5));
-  CHECK(harness.node.shared.told().empty());
+  CHECK(harness.node.shared.reportedSilence().empty());
 }
 
 TEST_CASE("a digest that comes late tells nothing", "[shared_evidence]") {
@@ -108,7 +108,7 @@
   harness.node.isTold({99}, 3);
   harness.node.isToldLife(98, 10);
   CHECK_FALSE(harness.node.suspects(99));
-  CHECK(harness.node.shared.told().empty());
+  CHECK(harness.node.shared.reportedSilence().empty());
 }
 
 TEST_CASE("a zone none of whose servers answers is out of reach as a whole", "[shared_evidence]") {
@@ -349,7 +349,7 @@
   CHECK(harness.isDead(20));
   CHECK_FALSE(harness.isDead(20, 1));
   CHECK_FALSE(harness.isDead(30));
-  const auto evidence = harness.node.shared.deathOf(BackendId(20), 2);
+  const auto evidence = harness.node.shared.deathEvidence(BackendId(20), 2);
   CHECK(evidence->is_whole_zone);
   CHECK(evidence->reporters == 2);
   CHECK(evidence->flows == 6);
--- a/tests/flow/silence_detector_test.cc
+++ b/tests/flow/silence_detector_test.cc
@@ -18,14 +18,14 @@
 /** Twenty back ends, the first ten of one service. */
 struct Harness {
   Harness() {
-    detector.setServiceOf([this](BackendId backend) {
+    detector.setServiceLookup([this](BackendId backend) {
       return ServiceId(backend.value() <= in_first_service ? 1 : 2);
     });
   }
 
   void answer(std::uint32_t first, std::uint32_t last) {
     for (std::uint32_t id = first; id <= last; ++id) {
-      detector.onLife(BackendId(id));
+      detector.onProgress(BackendId(id));
     }
   }
 
@@ -39,7 +39,7 @@
   }
 
   void lose(BackendId backend, std::uint16_t port, std::uint16_t repetitions) {
-    detector.onRepetition(backend, flowIdOf({kCaller.address, port}, kListen), repetitions);
+    detector.onRetransmission(backend, flowIdOf({kCaller.address, port}, kListen), repetitions);
   }
 
   /** Three flows repeat themselves twice, 200 and 600 ms after the last answer. */
@@ -54,7 +54,7 @@
 
   ManualTimeSource time;
   NullEventLog log;
-  SilenceDetector detector{SilenceSettings(), time, log};
+  SilenceDetector detector{SilenceDetectorSettings(), time, log};
   std::uint32_t in_first_service = 10;
 };
 
@@ -191,14 +191,14 @@
     count.lost += isUp() ? 0 : 1;
     harness.detector.onOpening(kSilent);
     if (isUp()) {
-      harness.detector.onLife(kSilent);
+      harness.detector.onProgress(kSilent);
     }
   }
 
   /** Asks every 100 ms and repeats itself after 0.2 and 0.6 s. */
   void useOpenFlow() {
     if (isUp() && harness.time.elapsed % (5 * kStep) == Duration::zero()) {
-      harness.detector.onLife(kSilent);
+      harness.detector.onProgress(kSilent);
     } else if (!isUp() && (downFor() == milliseconds(200) || downFor() == milliseconds(600))) {
       harness.lose(kSilent, 1, downFor() == milliseconds(200) ? 1 : 2);
     }
