--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -286,7 +286,7 @@
   DirectoryHarness harness;
   std::uint64_t key = 0;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(harness.directory.isOwner(++key, kOwnersOfColdServer));
+    benchmark::DoNotOptimize(harness.directory.isOwner(++key, kOwnersPerColdBackend));
   }
 }
 BENCHMARK(measureOwnerOfColdServer)->Unit(benchmark::kMicrosecond);
--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -312,7 +312,7 @@
   const BackendReport& report = observation.report;
   loads_.onReport(report);
   if (observation.own_word) {
-    loads_.onDrainingSeen(report.backend);
+    loads_.onDrainingRefusal(report.backend);
   }
   if (!report.reachable || report.draining || observation.own_word) {
     placement_.invalidateCandidates();
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -54,7 +54,7 @@
   LoadEstimateSettings load;
   LoadControlSettings load_control;
   ZoneDemandSettings zone_demand;
-  ColdServerLimitSettings cold_servers;
+  ColdBackendLimitSettings cold_servers;
   ViewFollowerSettings follower;
 };
 
@@ -108,7 +108,7 @@
   void setCaughtUpCallback(std::function<void()> callback) { on_caught_up_ = std::move(callback); }
 
   /** Sets what tells which cold servers belong to this balancer. */
-  void setIsOwner(ColdServerLimit::IsOwner is_owner) {
+  void setIsOwner(ColdBackendLimit::IsOwner is_owner) {
     cold_limit_.setIsOwner(std::move(is_owner));
   }
 
@@ -222,7 +222,7 @@
   BackendRegistry registry_;
   BackendLoadTable loads_;
   PlacementEngine placement_;
-  ColdServerLimit cold_limit_;
+  ColdBackendLimit cold_limit_;
   FlowDecider decider_;
   FlowObserver observer_;
   SilenceDetector silence_;
--- a/src/client/caller_flow.cc
+++ b/src/client/caller_flow.cc
@@ -26,7 +26,7 @@
 void CallerFlow::start() {
   started_at_ = time_source_.monotonicTime();
   if (retry_budget_ != nullptr) {
-    retry_budget_->onFirstTry();
+    retry_budget_->onFirstAttempt();
   }
   beginAttempt();
 }
--- a/src/flow/backend_load_table.cc
+++ b/src/flow/backend_load_table.cc
@@ -11,16 +11,16 @@
 constexpr double kSmoothing = 0.3;
 
 /** Weight of a report from which it may close a back end to new flows. */
-constexpr double kTrustedReportWeight = 0.5;
+constexpr double kMinReportWeight = 0.5;
 
 /** Residences after which about a third is left of what a report showed beyond the usual. */
-constexpr double kReportMemory = 3;
+constexpr double kExcessTimeConstant = 3;
 
 /** A balancer places on a free back end at least this often for each residence. */
-constexpr double kSmallestShare = 1;
+constexpr double kMinPlacements = 1;
 
 /** Part of a place by which the share may be exceeded, since placements are whole. */
-constexpr double kShareSlack = 0.5;
+constexpr double kPlacementSlack = 0.5;
 
 double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -43,27 +43,27 @@
 }  // namespace
 
 bool BackendLoadTable::onReport(const BackendReport& report) {
-  is_told_ = true;
+  has_reports_ = true;
   Entry& entry = entries_[report.backend];
   if (entry.has_report && report.measured_at_ms <= entry.report.measured_at_ms) {
     return false;
   }
   const bool restarted = report.reachable && report.uptime_ms < entry.last_uptime_ms;
   if (report.reachable) {
-    updateLeaving(entry, report);
+    updateDraining(entry, report);
   }
   const MonotonicTime now = time_source_.monotonicTime();
   // Placed while the report was on its way: not in its numbers yet.
   const double lag_ms = static_cast<double>(toUnixMilliseconds(time_source_.systemTime())) -
                         static_cast<double>(report.measured_at_ms);
   const double interval_ms = 1000 * toSeconds(now - entry.report_received_at);
-  const double kept = entry.has_report && interval_ms > 0 ? lag_ms / interval_ms : 0;
-  entry.placed = placedAndPresent(entry) * std::clamp(kept, 0.0, 1.0);
+  const double kept_fraction = entry.has_report && interval_ms > 0 ? lag_ms / interval_ms : 0;
+  entry.placed = presentPlacements(entry) * std::clamp(kept_fraction, 0.0, 1.0);
   entry.placed_at = now;
   entry.report_lag = std::max(0.0, lag_ms / 1000);
   const double requests = requestsIn(report);
   const bool has_history = entry.has_report && !restarted;
-  entry.usual_requests = has_history ? smoothed(entry.usual_requests, requests) : requests;
+  entry.smoothed_requests = has_history ? smoothed(entry.smoothed_requests, requests) : requests;
   entry.report = report;
   entry.has_report = true;
   entry.report_received_at = now;
@@ -73,7 +73,7 @@
 void BackendLoadTable::onPlaced(const Backend& backend) {
   Entry& entry = entries_[backend.id];
   entry.service = backend.service;
-  entry.placed = placedAndPresent(entry) + 1;
+  entry.placed = presentPlacements(entry) + 1;
   entry.placed_at = time_source_.monotonicTime();
   ++services_[backend.service].placements;
 }
@@ -82,9 +82,9 @@
   entries_[backend].no_new_work_until = time_source_.monotonicTime() + retry_after;
 }
 
-void BackendLoadTable::onDrainingSeen(BackendId backend) {
-  is_told_ = true;
-  entries_[backend].refused_as_leaving_ms = toUnixMilliseconds(time_source_.systemTime());
+void BackendLoadTable::onDrainingRefusal(BackendId backend) {
+  has_reports_ = true;
+  entries_[backend].refused_as_draining_ms = toUnixMilliseconds(time_source_.systemTime());
 }
 
 void BackendLoadTable::refreshService(ServiceId service, std::span<const Backend* const> backends) {
@@ -110,15 +110,15 @@
   if (reported == 0) {
     return;
   }
-  load.typical_load = load_sum / static_cast<double>(reported);
+  load.mean_load = load_sum / static_cast<double>(reported);
   if (load.placement_rate <= 0) {
     return;
   }
   const double all_requests =
       requests * static_cast<double>(backends.size()) / static_cast<double>(reported);
   const double sample =
-      std::clamp(all_requests / load.placement_rate, toSeconds(settings_.residence_min),
-                 toSeconds(settings_.residence_max));
+      std::clamp(all_requests / load.placement_rate, toSeconds(settings_.min_residence),
+                 toSeconds(settings_.max_residence));
   const double residence = smoothed(toSeconds(load.residence), sample);
   load.residence = Duration(static_cast<std::int64_t>(residence * 1e6));
 }
@@ -134,8 +134,8 @@
   load.refreshed_at = now;
 }
 
-bool BackendLoadTable::isLeaving(const Backend& backend) const {
-  if (backend.draining || !is_told_) {
+bool BackendLoadTable::isDraining(const Backend& backend) const {
+  if (backend.draining || !has_reports_) {
     return backend.draining;
   }
   const Entry* entry = find(backend.id);
@@ -143,18 +143,18 @@
     return false;
   }
   // Unlike load, this does not age: only the back end itself takes it back.
-  return entry->report_says_leaving || entry->refused_as_leaving_ms != 0;
+  return entry->reported_draining || entry->refused_as_draining_ms != 0;
 }
 
 bool BackendLoadTable::acceptsNewWork(const Backend& backend) const {
   const Entry* entry = find(backend.id);
   const bool refused_lately =
       entry != nullptr && time_source_.monotonicTime() < entry->no_new_work_until;
-  return !refused_lately && !isLeaving(backend);
+  return !refused_lately && !isDraining(backend);
 }
 
 bool BackendLoadTable::looksReachable(const Backend& backend) const {
-  if (!is_told_) {
+  if (!has_reports_) {
     return true;
   }
   const Entry* entry = find(backend.id);
@@ -163,34 +163,35 @@
 
 bool BackendLoadTable::isFull(const Backend& backend, double full_load) const {
   const Entry* entry = find(backend.id);
-  if (entry == nullptr || reportWeight(*entry) < kTrustedReportWeight) {
+  if (entry == nullptr || reportWeight(*entry) < kMinReportWeight) {
     return false;
   }
   const BackendReport& report = entry->report;
-  const double startup_share = startupShare(*entry);
-  const double free_connections = static_cast<double>(backend.connections) * startup_share -
+  const double slow_start_fraction = slowStartFraction(*entry);
+  const double free_connections = static_cast<double>(backend.connections) * slow_start_fraction -
                                   static_cast<double>(report.open_connections);
-  const double free_slots = backend.slots * full_load * startup_share - reportedRequestsNow(*entry);
-  const double free_places = std::min(free_connections, free_slots);
-  if (free_places <= 0) {
+  const double free_slots =
+      backend.slots * full_load * slow_start_fraction - reportedRequestsNow(*entry);
+  const double free_capacity = std::min(free_connections, free_slots);
+  if (free_capacity <= 0) {
     return true;
   }
-  const double max_placements = std::max(kSmallestShare, free_places / live_balancers_);
-  return placedAndPresent(*entry) > max_placements - kShareSlack;
+  const double max_placements = std::max(kMinPlacements, free_capacity / live_balancers_);
+  return presentPlacements(*entry) > max_placements - kPlacementSlack;
 }
 
-bool BackendLoadTable::hasRoom(const Backend& backend) const {
+bool BackendLoadTable::hasFreeSlot(const Backend& backend) const {
   const Entry* entry = find(backend.id);
-  return entry != nullptr && reportWeight(*entry) >= kTrustedReportWeight &&
+  return entry != nullptr && reportWeight(*entry) >= kMinReportWeight &&
          loadOf(backend, entry->report) < 1;
 }
 
 double BackendLoadTable::estimatedLoad(const Backend& backend) const {
   const ServiceLoad* service = findService(backend.service);
-  const double typical_load = service == nullptr ? 0 : service->typical_load;
+  const double mean_load = service == nullptr ? 0 : service->mean_load;
   const Entry* entry = find(backend.id);
   if (entry == nullptr) {
-    return typical_load;
+    return mean_load;
   }
   const double weight = reportWeight(*entry);
   const double connection_load =
@@ -198,10 +199,10 @@
   const double reported =
       weight > 0 ? std::max(connection_load, reportedRequestsNow(*entry) / backend.slots) : 0;
   const double peers = settings_.peer_placement_weight * (live_balancers_ - 1);
-  const double placed = placedAndPresent(*entry) * (1 + peers) / backend.slots;
-  const double believed = std::max(reported, settings_.report_floor * typical_load);
-  const double load = weight * believed + (1 - weight) * typical_load + placed;
-  return weight > 0 ? load / startupShare(*entry) : load;
+  const double placed = presentPlacements(*entry) * (1 + peers) / backend.slots;
+  const double floored_load = std::max(reported, settings_.min_report_ratio * mean_load);
+  const double load = weight * floored_load + (1 - weight) * mean_load + placed;
+  return weight > 0 ? load / slowStartFraction(*entry) : load;
 }
 
 double BackendLoadTable::reportedLoad(const Backend& backend) const {
@@ -212,7 +213,7 @@
 Duration BackendLoadTable::residence(ServiceId service) const {
   const ServiceLoad* load = findService(service);
   const Duration residence = load == nullptr ? Duration::zero() : load->residence;
-  return std::clamp(residence, settings_.residence_min, settings_.residence_max);
+  return std::clamp(residence, settings_.min_residence, settings_.max_residence);
 }
 
 const BackendReport* BackendLoadTable::lastReport(BackendId backend) const {
@@ -230,21 +231,21 @@
   return found == services_.end() ? nullptr : &found->second;
 }
 
-void BackendLoadTable::updateLeaving(Entry& entry, const BackendReport& report) {
+void BackendLoadTable::updateDraining(Entry& entry, const BackendReport& report) {
   const bool restarted = report.uptime_ms < entry.last_uptime_ms;
   const auto hold_ms = static_cast<std::uint64_t>(
-      std::chrono::duration_cast<milliseconds>(settings_.leaving_hold).count());
-  const bool hold_passed = report.measured_at_ms >= entry.refused_as_leaving_ms + hold_ms;
+      std::chrono::duration_cast<milliseconds>(settings_.draining_refusal_ttl).count());
+  const bool hold_passed = report.measured_at_ms >= entry.refused_as_draining_ms + hold_ms;
   entry.last_uptime_ms = report.uptime_ms;
-  entry.report_says_leaving = report.draining;
+  entry.reported_draining = report.draining;
   if (!report.draining && (restarted || hold_passed)) {
-    entry.refused_as_leaving_ms = 0;
+    entry.refused_as_draining_ms = 0;
   }
 }
 
 bool BackendLoadTable::stateIsCurrent(const Entry& entry) const {
   const Duration age = time_source_.monotonicTime() - entry.report_received_at;
-  return entry.has_report && age < settings_.state_lifetime;
+  return entry.has_report && age < settings_.state_ttl;
 }
 
 bool BackendLoadTable::reportIsCurrent(const Entry& entry) const {
@@ -256,36 +257,36 @@
     return 0;
   }
   const Duration age = time_source_.monotonicTime() - entry.report_received_at;
-  const double part = toSeconds(age) / toSeconds(settings_.report_lifetime);
-  return std::max(0.0, 1 - part * part);
+  const double age_fraction = toSeconds(age) / toSeconds(settings_.report_ttl);
+  return std::max(0.0, 1 - age_fraction * age_fraction);
 }
 
 double BackendLoadTable::reportedRequestsNow(const Entry& entry) const {
   const double age =
       toSeconds(time_source_.monotonicTime() - entry.report_received_at) + entry.report_lag;
-  const double time_constant = kReportMemory * toSeconds(residence(entry.service));
-  const double beyond_usual = requestsIn(entry.report) - entry.usual_requests;
-  return entry.usual_requests + beyond_usual * std::exp(-age / time_constant);
+  const double time_constant = kExcessTimeConstant * toSeconds(residence(entry.service));
+  const double excess = requestsIn(entry.report) - entry.smoothed_requests;
+  return entry.smoothed_requests + excess * std::exp(-age / time_constant);
 }
 
-double BackendLoadTable::placedAndPresent(const Entry& entry) const {
+double BackendLoadTable::presentPlacements(const Entry& entry) const {
   if (entry.placed == 0) {
     return 0;
   }
   const Duration age = time_source_.monotonicTime() - entry.placed_at;
-  return entry.placed * std::exp(-toSeconds(age) / (settings_.placement_memory *
+  return entry.placed * std::exp(-toSeconds(age) / (settings_.placement_time_constant *
                                                     toSeconds(residence(entry.service))));
 }
 
-double BackendLoadTable::startupShare(const Entry& entry) const {
+double BackendLoadTable::slowStartFraction(const Entry& entry) const {
   const Duration since_report = time_source_.monotonicTime() - entry.report_received_at;
   const Duration uptime = milliseconds(entry.report.uptime_ms) + since_report;
-  if (uptime >= settings_.slow_start) {
+  if (uptime >= settings_.slow_start_duration) {
     return 1;
   }
-  const double progress =
-      static_cast<double>(uptime.count()) / static_cast<double>(settings_.slow_start.count());
-  return std::max(settings_.slow_start_floor, progress);
+  const double progress = static_cast<double>(uptime.count()) /
+                          static_cast<double>(settings_.slow_start_duration.count());
+  return std::max(settings_.min_slow_start_fraction, progress);
 }
 
 }  // namespace lugfork
--- a/src/flow/backend_load_table.h
+++ b/src/flow/backend_load_table.h
@@ -12,24 +12,24 @@
 /** Tunables of the load estimate. */
 struct LoadEstimateSettings {
   /** Age at which a report says nothing any more; its weight falls smoothly until then. */
-  Duration report_lifetime = seconds(10);
+  Duration report_ttl = seconds(10);
   /** Age at which a report of an unreachable back end is no longer believed. */
-  Duration state_lifetime = seconds(120);
+  Duration state_ttl = seconds(120);
   /** A refusal because the back end leaves holds this long against reports that deny it. */
-  Duration leaving_hold = seconds(10);
+  Duration draining_refusal_ttl = seconds(10);
   /** A back end younger than this gets a rising share of new flows. */
-  Duration slow_start = seconds(10);
+  Duration slow_start_duration = seconds(10);
   /** Share that a back end gets right after its start. */
-  double slow_start_floor = 0.1;
+  double min_slow_start_fraction = 0.1;
   /** What was placed here stands for 1 + (live balancers - 1) times this much. */
   double peer_placement_weight = 1;
   /** Smallest load that a report is believed to show, as a share of the service's mean load. */
-  double report_floor = 1;
+  double min_report_ratio = 1;
   /** Residences after which about a third of what was placed here counts as present still. */
-  double placement_memory = 1;
+  double placement_time_constant = 1;
   /** Bounds of the estimated time for which a placed request counts to a back end's load. */
-  Duration residence_min = milliseconds(20);
-  Duration residence_max = seconds(10);
+  Duration min_residence = milliseconds(20);
+  Duration max_residence = seconds(10);
 };
 
 /**
@@ -51,7 +51,7 @@
   void onRefusal(BackendId backend, Duration retry_after);
 
   /** Notes the back end's own word that it is leaving. */
-  void onDrainingSeen(BackendId backend);
+  void onDrainingRefusal(BackendId backend);
 
   /** Sets the number of balancers that place flows; a back end's free places are shared by them. */
   void setLiveBalancers(std::uint32_t count) { live_balancers_ = count == 0 ? 1 : count; }
@@ -68,7 +68,7 @@
   }
 
   /** @return true where the back end is declared to leave, or says itself that it leaves. */
-  bool isLeaving(const Backend& backend) const;
+  bool isDraining(const Backend& backend) const;
 
   /** @return false where the back end leaves or has just refused, by its own word. */
   bool acceptsNewWork(const Backend& backend) const;
@@ -84,7 +84,7 @@
   bool isFull(const Backend& backend, double full_load) const;
 
   /** @return true where a fresh report shows a free slot. */
-  bool hasRoom(const Backend& backend) const;
+  bool hasFreeSlot(const Backend& backend) const;
 
   /** @return estimated load over capacity; 1 stands for all slots busy. */
   double estimatedLoad(const Backend& backend) const;
@@ -96,7 +96,7 @@
   Duration residence(ServiceId service) const;
 
   /** @return true once a report or a back end's own word that it leaves has come. */
-  bool isTold() const { return is_told_; }
+  bool hasReports() const { return has_reports_; }
 
   /** @return the last report, or nullptr. */
   const BackendReport* lastReport(BackendId backend) const;
@@ -106,7 +106,7 @@
     BackendReport report;
     MonotonicTime report_received_at;
     /** Requests present, smoothed over reports. */
-    double usual_requests = 0;
+    double smoothed_requests = 0;
     /** Age of the last report at its arrival, in seconds. */
     double report_lag = 0;
     bool has_report = false;
@@ -115,16 +115,16 @@
     MonotonicTime placed_at;
     ServiceId service;
     /** The last report that got an answer said that the back end takes nothing new. */
-    bool report_says_leaving = false;
+    bool reported_draining = false;
     /** The back end refused work because it leaves; wall-clock time of that, 0 for none [ms]. */
-    std::uint64_t refused_as_leaving_ms = 0;
+    std::uint64_t refused_as_draining_ms = 0;
     /** Uptime in the last report that got an answer. */
     std::uint32_t last_uptime_ms = 0;
     MonotonicTime no_new_work_until;
   };
 
   struct ServiceLoad {
-    double typical_load = 0;
+    double mean_load = 0;
     Duration residence{};
     /** Placements by this balancer since the last refresh. */
     std::uint64_t placements = 0;
@@ -136,13 +136,13 @@
   const Entry* find(BackendId backend) const;
   const ServiceLoad* findService(ServiceId service) const;
   /** Takes what a report that got an answer says about leaving and restarts. */
-  void updateLeaving(Entry& entry, const BackendReport& report);
+  void updateDraining(Entry& entry, const BackendReport& report);
   bool reportIsCurrent(const Entry& entry) const;
   bool stateIsCurrent(const Entry& entry) const;
 
   /** @return how far the report is believed, from 1 (new) to 0 (at the end of its lifetime). */
   double reportWeight(const Entry& entry) const;
-  double startupShare(const Entry& entry) const;
+  double slowStartFraction(const Entry& entry) const;
 
   /**
    * @return requests present by the reports: what the last one showed beyond the usual number has
@@ -151,7 +151,7 @@
   double reportedRequestsNow(const Entry& entry) const;
 
   /** @return requests placed here that are believed to be present and not in the report. */
-  double placedAndPresent(const Entry& entry) const;
+  double presentPlacements(const Entry& entry) const;
   void updatePlacementRate(ServiceLoad& load) const;
 
   const LoadEstimateSettings settings_;
@@ -160,7 +160,7 @@
   std::unordered_map<ServiceId, ServiceLoad> services_;
   std::uint32_t live_balancers_ = 1;
   /** Until then all back ends are alike, and none needs to be looked up. */
-  bool is_told_ = false;
+  bool has_reports_ = false;
 };
 
 }  // namespace lugfork
--- a/src/flow/flow_router.cc
+++ b/src/flow/flow_router.cc
@@ -78,7 +78,7 @@
   }
   const auto& [service, backend] = decision.value();
   ++counters_.placements;
-  retryBudgetOf(service->id).onFirstTry();
+  retryBudgetOf(service->id).onFirstAttempt();
   sender_.sendDatagram(caller, Placed{open.key, sealPlacement(open.key, *service, *backend)});
 }
 
@@ -126,7 +126,7 @@
 void FlowRouter::learnFromRefusal(const BackendRefusal& refusal, const Backend& backend) {
   placement_.onBackendRefusal(backend, refusal.key, refusal.reason);
   if (refusal.reason == Reason::Draining) {
-    loads_.onDrainingSeen(refusal.backend);
+    loads_.onDrainingRefusal(refusal.backend);
     host_.onBackendDraining(refusal.backend);
   } else if (refusal.reason == Reason::Overloaded) {
     loads_.onRefusal(refusal.backend, milliseconds(refusal.retry_after_ms));
--- a/src/flow/locality_router.cc
+++ b/src/flow/locality_router.cc
@@ -215,7 +215,7 @@
   const double error = std::sqrt(state.own.varianceOfMean(now) + state.others.varianceOfMean(now));
   const double service_ms = std::chrono::duration<double, std::milli>(service_time).count();
   return difference + error < std::log(settings_.in_time_below) &&
-         state.others.typicalMs() > settings_.waits_from * service_ms;
+         state.others.geometricMeanMs() > settings_.waits_from * service_ms;
 }
 
 void LocalityRouter::relieve(State& state, const LocalityCapacity& capacity) const {
@@ -247,7 +247,7 @@
   if (std::min(state.own.count(now), state.others.count(now)) < kSamplesNeeded) {
     return Lateness::InTime;
   }
-  const double gain_ms = state.own.typicalMs() - state.others.typicalMs();
+  const double gain_ms = state.own.geometricMeanMs() - state.others.geometricMeanMs();
   const double smallest_ms =
       std::chrono::duration<double, std::milli>(settings_.smallest_gain).count();
   const double difference = state.own.mean() - state.others.mean();
@@ -316,8 +316,8 @@
        {"own_slots_usable", static_cast<std::uint64_t>(std::lround(capacity.own_usable))},
        {"all_slots_usable", static_cast<std::uint64_t>(std::lround(capacity.all_usable))},
        {"own_demand_slots", static_cast<std::uint64_t>(std::lround(capacity.demand.busy_slots))},
-       {"own_ms", static_cast<std::uint64_t>(std::lround(state.own.typicalMs()))},
-       {"others_ms", static_cast<std::uint64_t>(std::lround(state.others.typicalMs()))}});
+       {"own_ms", static_cast<std::uint64_t>(std::lround(state.own.geometricMeanMs()))},
+       {"others_ms", static_cast<std::uint64_t>(std::lround(state.others.geometricMeanMs()))}});
 }
 
 }  // namespace lugfork
--- a/src/flow/log_time_statistics.h
+++ b/src/flow/log_time_statistics.h
@@ -8,7 +8,7 @@
 class LogTimeStatistics {
  public:
   /** @param lifetime time after which a sample counts 1/e of a new one. */
-  explicit LogTimeStatistics(Duration lifetime = seconds(1)) : lifetime_(lifetime) {}
+  explicit LogTimeStatistics(Duration time_constant = seconds(1)) : time_constant_(time_constant) {}
 
   /** Takes a sample; one far shorter than the typical one, such as a refusal, is ignored. */
   void add(Duration sample, MonotonicTime now);
@@ -23,17 +23,17 @@
   double varianceOfMean(MonotonicTime now) const;
 
   /** @return the geometric mean of the samples [ms]. */
-  double typicalMs() const;
+  double geometricMeanMs() const;
 
  private:
   /** @return what is left of the weights since they were last brought up to date. */
-  double fade(MonotonicTime now) const;
+  double decay(MonotonicTime now) const;
 
-  Duration lifetime_;
+  Duration time_constant_;
   double count_ = 0;
   double sum_ = 0;
   double sum_of_squares_ = 0;
-  MonotonicTime faded_at_;
+  MonotonicTime decayed_at_;
 };
 
 }  // namespace lugfork
--- a/src/flow/outlier_detector.cc
+++ b/src/flow/outlier_detector.cc
@@ -24,15 +24,16 @@
 
 void OutlierDetector::eject(const Backend& backend, Record& record, std::size_t service_size) {
   std::vector<BackendId>& ejected = ejectedOf(backend.service);
-  const double limit = settings_.max_ejected_share * static_cast<double>(service_size);
+  const double limit = settings_.max_ejected_fraction * static_cast<double>(service_size);
   if (static_cast<double>(ejected.size() + 1) > limit) {
     return;
   }
   ++record.ejections;
   record.failures = 0;
-  const Duration time =
-      std::min(settings_.max_ejection, settings_.base_ejection * record.ejections);
-  const double jitter = static_cast<double>(time.count()) * settings_.jitter * random_.unit();
+  const Duration time = std::min(settings_.max_ejection_duration,
+                                 settings_.base_ejection_duration * record.ejections);
+  const double jitter =
+      static_cast<double>(time.count()) * settings_.max_jitter_fraction * random_.unit();
   record.ejected_until =
       time_source_.monotonicTime() + time + Duration(static_cast<std::int64_t>(jitter));
   ejected.push_back(backend.id);
--- a/src/flow/outlier_detector.h
+++ b/src/flow/outlier_detector.h
@@ -10,18 +10,18 @@
 namespace lugfork {
 
 /** Tunables of the ejection of back ends by data-path evidence. */
-struct OutlierSettings {
+struct OutlierDetectorSettings {
   /** Failed attempts without any success between them that eject a back end. */
   std::uint32_t failures_to_eject = 5;
   /** Failures further apart than this do not add up. */
   Duration failure_window = seconds(10);
   /** The n-th ejection in a row lasts n times this, up to the maximum. */
-  Duration base_ejection = seconds(5);
-  Duration max_ejection = seconds(60);
+  Duration base_ejection_duration = seconds(5);
+  Duration max_ejection_duration = seconds(60);
   /** Largest random part that is added to an ejection's time. */
-  double jitter = 0.2;
+  double max_jitter_fraction = 0.2;
   /** Largest share of a service's back ends that is ejected at a time, rounded down. */
-  double max_ejected_share = 0.3;
+  double max_ejected_fraction = 0.3;
 };
 
 /**
@@ -30,7 +30,8 @@
  */
 class OutlierDetector {
  public:
-  OutlierDetector(OutlierSettings settings, const TimeSource& time_source, RandomGenerator& random)
+  OutlierDetector(OutlierDetectorSettings settings, const TimeSource& time_source,
+                  RandomGenerator& random)
       : settings_(settings), time_source_(time_source), random_(random) {}
 
   /**
@@ -58,7 +59,7 @@
   /** Forgets ejections that are over. @return those of the service that are not. */
   std::vector<BackendId>& ejectedOf(ServiceId service);
 
-  const OutlierSettings settings_;
+  const OutlierDetectorSettings settings_;
   const TimeSource& time_source_;
   RandomGenerator& random_;
   std::unordered_map<BackendId, Record> records_;
--- a/src/flow/placement_engine.cc
+++ b/src/flow/placement_engine.cc
@@ -34,7 +34,7 @@
   }
   double weight(std::size_t index) const override {
     const Backend& backend = *backends_[index];
-    const double share = speed_ == nullptr ? 1 : speed_->shareOf(backend.id);
+    const double share = speed_ == nullptr ? 1 : speed_->flowFractionOf(backend.id);
     return share * backend.slots * (backend.zone == local_zone_ ? local_weight_ : 1);
   }
 
@@ -153,7 +153,7 @@
 
 void PlacementEngine::onBackendRefusal(const Backend& backend, const FlowKey& attempt,
                                        Reason reason) {
-  const bool contradicts_report = reason == Reason::Overloaded && loads_.hasRoom(backend);
+  const bool contradicts_report = reason == Reason::Overloaded && loads_.hasFreeSlot(backend);
   const bool lost_state = reason == Reason::BackendGone || reason == Reason::WrongBackend;
   const Service* service = configuration_->service(backend.service);
   if (service == nullptr || !(contradicts_report || lost_state)) {
@@ -259,7 +259,7 @@
     suspects += isSuspect(*backend) ? 1 : 0;
   }
   // Requests in flight take the place of an estimate that no report has begun.
-  if (in_flight_ == nullptr || loads_.isTold()) {
+  if (in_flight_ == nullptr || loads_.hasReports()) {
     loads_.refreshService(service.id, list.backends);
   }
   list.ignore_reachability = static_cast<double>(reachable) <
@@ -288,7 +288,7 @@
   for (const Backend* backend : list.backends) {
     const bool usable =
         !isSuspect(*backend) && loads_.looksReachable(*backend) && now >= backend->cold_until;
-    const double share = speed_ == nullptr ? 1 : speed_->shareOf(backend->id);
+    const double share = speed_ == nullptr ? 1 : speed_->flowFractionOf(backend->id);
     const double usable_slots = usable ? share * backend->slots : 0;
     capacity.all_slots += backend->slots;
     capacity.all_usable += usable_slots;
--- a/src/flow/placement_engine.h
+++ b/src/flow/placement_engine.h
@@ -9,7 +9,7 @@
 #include "common/result.h"
 #include "config/live_configuration.h"
 #include "flow/backend_load_table.h"
-#include "flow/cold_server_limit.h"
+#include "flow/cold_backend_limit.h"
 #include "flow/locality_router.h"
 #include "flow/outlier_detector.h"
 #include "flow/policy/placement_policy.h"
@@ -45,7 +45,7 @@
   Duration retry_after_full_max = seconds(5);
   /** Time that callers are told to wait when there is no candidate at all. */
   Duration retry_after = seconds(1);
-  OutlierSettings outliers;
+  OutlierDetectorSettings outliers;
   /** Zone of this balancer; empty for none. */
   std::string local_zone;
   /** Weight of a back end in the local zone, as a multiple of that of others. */
@@ -107,7 +107,7 @@
   void setRequestsInFlight(const RequestsInFlight* in_flight) { in_flight_ = in_flight; }
 
   /** Sets what bounds the flows of servers that are warming up. */
-  void setColdServerLimit(ColdServerLimit* limit) { cold_limit_ = limit; }
+  void setColdServerLimit(ColdBackendLimit* limit) { cold_limit_ = limit; }
 
   /** Sets what tells of back ends that do not answer; they are passed over. */
   void setSuspicion(const BackendSuspicion* suspicion) { suspicion_ = suspicion; }
@@ -151,7 +151,7 @@
   void makeCandidates(const Service& service, CandidateList& list);
   bool isStale(const CandidateList& list) const;
   bool isEligible(const Service& service, const Backend& backend) const {
-    return service.allowsZone(backend.zone) && !loads_.isLeaving(backend);
+    return service.allowsZone(backend.zone) && !loads_.isDraining(backend);
   }
   void takeOut(const Backend* backend);
   void takeIn(const Backend* backend);
@@ -182,7 +182,7 @@
   OutlierDetector outliers_;
   const BackendSuspicion* suspicion_ = nullptr;
   const BackendSpeed* speed_ = nullptr;
-  ColdServerLimit* cold_limit_ = nullptr;
+  ColdBackendLimit* cold_limit_ = nullptr;
   const RequestsInFlight* in_flight_ = nullptr;
   LocalityRouter* locality_ = nullptr;
   std::function<DemandEstimate(ServiceId)> zone_demand_;
--- a/src/flow/requests_in_flight.cc
+++ b/src/flow/requests_in_flight.cc
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-void RequestsInFlight::begin(BackendId backend, const FlowId& flow, Duration lifetime) {
+void RequestsInFlight::begin(BackendId backend, const FlowId& flow, Duration ttl) {
   const MonotonicTime now = time_source_.monotonicTime();
   std::vector<Request>& requests = requests_[backend];
   std::erase_if(requests, [&](const Request& request) {
     return request.flow == flow || request.counts_until <= now;
   });
   if (requests.size() < kMaxRequests) {
-    requests.push_back({flow, now + lifetime});
+    requests.push_back({flow, now + ttl});
   }
 }
 
--- a/src/flow/requests_in_flight.h
+++ b/src/flow/requests_in_flight.h
@@ -22,7 +22,7 @@
    * A request of the flow is with the back end; one that the flow had there before is replaced.
    * @param lifetime time after which it no longer counts.
    */
-  void begin(BackendId backend, const FlowId& flow, Duration lifetime);
+  void begin(BackendId backend, const FlowId& flow, Duration ttl);
 
   /** The flow's request is answered or given up. */
   void end(BackendId backend, const FlowId& flow);
@@ -43,7 +43,7 @@
   void remove(BackendId backend) { requests_.erase(backend); }
 
   /** @return the back ends that are remembered. */
-  std::size_t backends() const { return requests_.size(); }
+  std::size_t trackedBackends() const { return requests_.size(); }
 
  private:
   struct Request {
--- a/src/flow/response_times.h
+++ b/src/flow/response_times.h
@@ -12,17 +12,17 @@
 /** Tunables of ResponseTimes. */
 struct ResponseTimeSettings {
   /** Part of a new sample in a back end's smoothed time. */
-  double smoothing = 0.3;
+  double smoothing_factor = 0.3;
   /** Samples before a back end's time is believed. */
-  std::uint32_t samples_needed = 3;
+  std::uint32_t min_samples = 3;
   /** Time without a sample after which nothing is known any more. */
-  Duration lifetime = seconds(3);
+  Duration sample_ttl = seconds(3);
   /** Back ends with known times that a service needs for a comparison. */
-  std::size_t back_ends_needed = 3;
+  std::size_t min_backends = 3;
   /** Multiple of the service's median from which a back end counts as slow. */
-  double slow_from = 1.5;
+  double slow_ratio = 1.5;
   /** Smallest share of its usual flows that a slow back end gets, so that it is seen to recover. */
-  double smallest_share = 0.1;
+  double min_flow_fraction = 0.1;
 };
 
 /** How fast back ends answer, compared with others of their service. */
@@ -31,7 +31,7 @@
   virtual ~BackendSpeed() = default;
 
   /** @return the share of its usual new flows that suits the back end, from above 0 to 1. */
-  virtual double shareOf(BackendId backend) const = 0;
+  virtual double flowFractionOf(BackendId backend) const = 0;
 };
 
 /**
@@ -51,7 +51,7 @@
   void compare(const ConfigurationView& configuration);
 
   /** As of the last comparison. */
-  double shareOf(BackendId backend) const override;
+  double flowFractionOf(BackendId backend) const override;
 
   /** Forgets the times of one back end. */
   void remove(BackendId backend);
@@ -66,19 +66,19 @@
     MonotonicTime sampled_at;
   };
   /** A back end whose time is known. */
-  struct KnownTime {
+  struct TimeEstimate {
     BackendId backend;
     double smoothed_ms = 0;
   };
 
-  bool isKnown(const Record& record) const;
-  void compareService(std::vector<KnownTime>& times);
+  bool hasEstimate(const Record& record) const;
+  void compareService(std::vector<TimeEstimate>& times);
 
   const ResponseTimeSettings settings_;
   const TimeSource& time_source_;
   std::unordered_map<BackendId, Record> records_;
   /** Shares of the back ends that are slow as of the last comparison; all others have 1. */
-  std::unordered_map<BackendId, double> slow_shares_;
+  std::unordered_map<BackendId, double> slow_fractions_;
 };
 
 }  // namespace lugfork
--- a/src/flow/retry_budget.h
+++ b/src/flow/retry_budget.h
@@ -11,7 +11,7 @@
   /** Retries that each first try allows for. */
   double retries_per_attempt = 0.2;
   /** Retries a second that are allowed for without any first try. */
-  double floor_per_second = 2;
+  double min_retries_per_second = 2;
   /** Most retries that may be saved up. */
   double capacity = 50;
 };
@@ -25,34 +25,35 @@
   RetryBudget(RetryBudgetSettings settings, const TimeSource& time_source)
       : settings_(settings),
         time_source_(time_source),
-        balance_(settings.capacity),
+        tokens_(settings.capacity),
         refilled_at_(time_source.monotonicTime()) {}
 
   /** Notes a first try. */
-  void onFirstTry() { add(settings_.retries_per_attempt); }
+  void onFirstAttempt() { add(settings_.retries_per_attempt); }
 
   /** @return true if a retry may be made now; it is taken from the budget. */
   bool tryTake() {
     refill();
-    if (balance_ < 1) {
+    if (tokens_ < 1) {
       return false;
     }
-    balance_ -= 1;
+    tokens_ -= 1;
     return true;
   }
 
  private:
-  void add(double amount) { balance_ = std::min(settings_.capacity, balance_ + amount); }
+  void add(double amount) { tokens_ = std::min(settings_.capacity, tokens_ + amount); }
 
   void refill() {
     const MonotonicTime now = time_source_.monotonicTime();
-    add(std::chrono::duration<double>(now - refilled_at_).count() * settings_.floor_per_second);
+    add(std::chrono::duration<double>(now - refilled_at_).count() *
+        settings_.min_retries_per_second);
     refilled_at_ = now;
   }
 
   const RetryBudgetSettings settings_;
   const TimeSource& time_source_;
-  double balance_;
+  double tokens_;
   MonotonicTime refilled_at_;
 };
 
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -168,7 +168,7 @@
   view_client_->setWholeViewCallback(
       [this](Bytes body, const ViewStatus& status) { provider_->adopt(std::move(body), status); });
   node_.setIsOwner([this](std::uint64_t server_id) {
-    return directory_.isOwner(server_id, kOwnersOfColdServer);
+    return directory_.isOwner(server_id, kOwnersPerColdBackend);
   });
   node_.setFleetSize([this] { return directory_.fleetSize(); });
   node_.setReadsPlatform([this] { return source_.upstream() == Upstream::Store; });
--- a/tests/flow/cold_server_limit_test.cc
+++ b/tests/flow/cold_backend_limit_test.cc
@@ -1,4 +1,4 @@
-#include "flow/cold_server_limit.h"
+#include "flow/cold_backend_limit.h"
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
   return backend;
 }
 
-std::size_t placeAll(ColdServerLimit& limit, const Backend& backend, std::size_t tries) {
+std::size_t placeAll(ColdBackendLimit& limit, const Backend& backend, std::size_t tries) {
   std::size_t placed = 0;
   for (std::size_t count = 0; count < tries; ++count) {
     if (limit.admits(backend)) {
@@ -35,7 +35,7 @@
 
 TEST_CASE("a warm server, and one without a limit, gets every flow", "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({}, time);
+  ColdBackendLimit limit({}, time);
   Backend warm = coldBackend(time);
   warm.cold_until = time.monotonicTime();
   CHECK(placeAll(limit, warm, 1000) == 1000);
@@ -47,10 +47,10 @@
 TEST_CASE("a cold server gets a part of its bound from an owner, and nothing from others",
           "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({}, time);
+  ColdBackendLimit limit({}, time);
   const Backend cold = coldBackend(time);
   CHECK(placeAll(limit, cold, 100) == 0);
-  time.elapsed += ColdServerLimitSettings().start_delay;
+  time.elapsed += ColdBackendLimitSettings().start_delay;
   CHECK(placeAll(limit, cold, 100) == kBound / 4);
   time.elapsed += milliseconds(1050);
   CHECK(placeAll(limit, cold, 100) == 0);
@@ -63,7 +63,7 @@
 
 TEST_CASE("a bound too small to be divided lets nothing pass", "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({1.0, 0.0, seconds(0)}, time);
+  ColdBackendLimit limit({1.0, 0.0, seconds(0)}, time);
   Backend cold = coldBackend(time);
   cold.cold_flows_per_second = 3;
   CHECK(placeAll(limit, cold, 100) == 0);
@@ -84,12 +84,12 @@
     PeerDirectory directory({}, self, {}, time, *random);
     directory.onTold(all);
     for (std::uint64_t server = 1; server <= kServers; ++server) {
-      owners[server] += directory.isOwner(server, kOwnersOfColdServer) ? 1 : 0;
+      owners[server] += directory.isOwner(server, kOwnersPerColdBackend) ? 1 : 0;
     }
   }
   for (std::uint64_t server = 1; server <= kServers; ++server) {
     CHECK(owners[server] >= 1);
-    CHECK(owners[server] <= kOwnersOfColdServer);
+    CHECK(owners[server] <= kOwnersPerColdBackend);
   }
 }
 
@@ -103,12 +103,12 @@
     const auto split = *rc::gen::inRange<std::uint32_t>(0, fleet + 1);
     const Backend cold = coldBackend(time);
     std::vector<std::unique_ptr<PeerDirectory>> directories;
-    std::vector<std::unique_ptr<ColdServerLimit>> limits;
+    std::vector<std::unique_ptr<ColdBackendLimit>> limits;
     const auto start = [&](std::size_t index) {
-      auto limit = std::make_unique<ColdServerLimit>(ColdServerLimitSettings(), time);
+      auto limit = std::make_unique<ColdBackendLimit>(ColdBackendLimitSettings(), time);
       PeerDirectory* directory = directories[index].get();
       limit->setIsOwner([directory](std::uint64_t server_id) {
-        return directory->isOwner(server_id, kOwnersOfColdServer);
+        return directory->isOwner(server_id, kOwnersPerColdBackend);
       });
       return limit;
     };
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -173,9 +173,9 @@
     }
   };
   answer(100, milliseconds(300));
-  CHECK(times.typicalMs() == Approx(300).epsilon(0.01));
+  CHECK(times.geometricMeanMs() == Approx(300).epsilon(0.01));
   answer(200, milliseconds(30));
-  CHECK(times.typicalMs() == Approx(30).epsilon(0.05));
+  CHECK(times.geometricMeanMs() == Approx(30).epsilon(0.05));
 }
 
 TEST_CASE("few answers are no reason to send flows beyond", "[locality]") {
--- a/tests/flow/outlier_detector_test.cc
+++ b/tests/flow/outlier_detector_test.cc
@@ -26,7 +26,7 @@
 
   ManualTimeSource time;
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(3);
-  OutlierDetector detector{OutlierSettings(), time, *random};
+  OutlierDetector detector{OutlierDetectorSettings(), time, *random};
   std::uint64_t attempts = 0;
 };
 
@@ -84,7 +84,7 @@
   };
   CHECK(drain() == 5);
   for (int first_try = 0; first_try < 11; ++first_try) {
-    budget.onFirstTry();
+    budget.onFirstAttempt();
   }
   CHECK(drain() == 2);
   time.elapsed += seconds(1);
--- a/tests/flow/placement_engine_test.cc
+++ b/tests/flow/placement_engine_test.cc
@@ -81,7 +81,7 @@
   const Row rows[] = {
       {"unreachable", [](PlacementHarness& harness) { harness.reportUnreachable(1); }},
       {"said that it drains",
-       [](PlacementHarness& harness) { harness.loads.onDrainingSeen(BackendId(1)); }},
+       [](PlacementHarness& harness) { harness.loads.onDrainingRefusal(BackendId(1)); }},
       {"refused lately",
        [](PlacementHarness& harness) { harness.loads.onRefusal(BackendId(1), seconds(1)); }},
       {"full by its report", [](PlacementHarness& harness) { harness.report(1, 2, 14); }},
@@ -158,7 +158,7 @@
   harness.time.elapsed += seconds(1);
   harness.report(1, 0);
   CHECK(harness.placeMany(100).count(1) == 1);
-  harness.loads.onDrainingSeen(BackendId(1));
+  harness.loads.onDrainingRefusal(BackendId(1));
   harness.engine.invalidateCandidates();
   harness.time.elapsed += seconds(1);
   harness.report(1, 0);
@@ -252,7 +252,7 @@
           }
           break;
         case 3:
-          harness.loads.onDrainingSeen(backend.id);
+          harness.loads.onDrainingRefusal(backend.id);
           break;
         default:
           harness.time.elapsed += milliseconds(step);
@@ -263,7 +263,7 @@
         continue;
       }
       RC_ASSERT(chosen.value()->zone == kLac);
-      RC_ASSERT(!harness.loads.isLeaving(*chosen.value()));
+      RC_ASSERT(!harness.loads.isDraining(*chosen.value()));
     }
     std::size_t candidates = 0;
     std::size_t ejected = 0;
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -109,7 +109,7 @@
   harness.open(5001, BackendId{99});
   harness.observer.retain(*viewOf(twoServices()));
   CHECK(harness.count(kFirst) == 1);
-  CHECK(harness.observer.requestsInFlight().backends() == 1);
+  CHECK(harness.observer.requestsInFlight().trackedBackends() == 1);
 }
 
 TEST_CASE("the count of a back end is bounded", "[requests_in_flight]") {
--- a/tests/flow/response_times_test.cc
+++ b/tests/flow/response_times_test.cc
@@ -7,13 +7,13 @@
 namespace lugfork {
 namespace {
 
-constexpr std::uint32_t kBackEnds = 10;
+constexpr std::uint32_t kBackends = 10;
 
 struct ResponseHarness {
   ResponseHarness() {
     Configuration configuration = twoServices();
     configuration.backends.clear();
-    for (std::uint32_t id = 1; id <= kBackEnds; ++id) {
+    for (std::uint32_t id = 1; id <= kBackends; ++id) {
       configuration.backends.push_back(makeBackend(id, ServiceId(1), kLac));
     }
     view = viewOf(configuration);
@@ -26,13 +26,13 @@
   }
 
   void answerAll(Duration usual, std::uint32_t slow_id, Duration slow) {
-    for (std::uint32_t id = 1; id <= kBackEnds; ++id) {
+    for (std::uint32_t id = 1; id <= kBackends; ++id) {
       answer(id, 10, id == slow_id ? slow : usual);
     }
     times.compare(*view);
   }
 
-  double share(std::uint32_t id) const { return times.shareOf(BackendId(id)); }
+  double share(std::uint32_t id) const { return times.flowFractionOf(BackendId(id)); }
 
   ManualTimeSource time;
   ConfigurationViewPtr view;
@@ -75,7 +75,7 @@
   SECTION("two samples") {
     harness.answerAll(milliseconds(20), 0, Duration::zero());
     harness.time.elapsed += seconds(4);
-    for (std::uint32_t id = 1; id <= kBackEnds; ++id) {
+    for (std::uint32_t id = 1; id <= kBackends; ++id) {
       harness.answer(id, id == 4 ? 2 : 10, id == 4 ? milliseconds(200) : milliseconds(20));
     }
   }
