--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -128,27 +128,27 @@
   SmallFleet fleet;
   // Each has lost something once, so that it is told of what others lose.
   for (const auto& node : fleet.nodes) {
-    node->evidence.isAnswered(2);
-    node->evidence.isAnswered(3);
-    node->evidence.isAnswered(12);
-    node->evidence.isAnswered(13);
-    node->evidence.loses(30);
+    node->evidence.recordAnswer(2);
+    node->evidence.recordAnswer(3);
+    node->evidence.recordAnswer(12);
+    node->evidence.recordAnswer(13);
+    node->evidence.recordUnanswered(30);
   }
   fleet.scheduler.advance(milliseconds(500));
-  fleet.weak(0).evidence.loses(5);
-  fleet.weak(1).evidence.loses(5);
+  fleet.weak(0).evidence.recordUnanswered(5);
+  fleet.weak(1).evidence.recordUnanswered(5);
   fleet.scheduler.advance(milliseconds(310));
-  CHECK(fleet.weak(2).evidence.suspects(5));
-  CHECK(fleet.nodes[0]->evidence.suspects(5));
+  CHECK(fleet.weak(2).evidence.isSuspect(5));
+  CHECK(fleet.nodes[0]->evidence.isSuspect(5));
   SECTION("but none of another zone") {
     for (std::size_t index = 6; index < 12; ++index) {
-      CHECK_FALSE(fleet.nodes[index]->evidence.suspects(5));
+      CHECK_FALSE(fleet.nodes[index]->evidence.isSuspect(5));
     }
   }
   SECTION("until one gets an answer") {
-    fleet.weak(3).evidence.isAnswered(5);
+    fleet.weak(3).evidence.recordAnswer(5);
     fleet.scheduler.advance(milliseconds(310));
-    CHECK_FALSE(fleet.weak(2).evidence.suspects(5));
+    CHECK_FALSE(fleet.weak(2).evidence.isSuspect(5));
   }
 }
 
@@ -157,13 +157,13 @@
   fleet.cut_zone = "lac";
   for (std::size_t index = 0; index < 6; ++index) {
     FleetNode& node = *fleet.nodes[index];
-    node.evidence.isAnswered(1);
-    node.evidence.isAnswered(2);
+    node.evidence.recordAnswer(1);
+    node.evidence.recordAnswer(2);
   }
   fleet.scheduler.advance(milliseconds(300));
   for (std::uint32_t index = 0; index < 6; ++index) {
-    fleet.nodes[index]->evidence.loses(11 + index);
-    fleet.nodes[index]->evidence.isAnswered(1);
+    fleet.nodes[index]->evidence.recordUnanswered(11 + index);
+    fleet.nodes[index]->evidence.recordAnswer(1);
   }
   fleet.scheduler.advance(milliseconds(310));
   for (std::size_t index = 0; index < 6; ++index) {
@@ -178,22 +178,22 @@
   SmallFleet fleet;
   const auto stopped = static_cast<std::size_t>(GENERATE(0, 1));
   for (const auto& node : fleet.nodes) {
-    node->evidence.isAnswered(1);
-    node->evidence.loses(30);
+    node->evidence.recordAnswer(1);
+    node->evidence.recordUnanswered(30);
   }
   fleet.scheduler.advance(milliseconds(500));
   fleet.nodes[stopped]->is_deaf = true;
   for (std::uint16_t round = 0; round < 15; ++round) {
     for (int index = 0; index < 3; ++index) {
-      fleet.weak(index).evidence.loses(29, round);
+      fleet.weak(index).evidence.recordUnanswered(29, round);
     }
     fleet.scheduler.advance(milliseconds(100));
   }
   for (int index = 0; index < 2; ++index) {
-    fleet.weak(index).evidence.loses(5);
+    fleet.weak(index).evidence.recordUnanswered(5);
   }
   fleet.scheduler.advance(milliseconds(700));
-  CHECK(fleet.weak(2).evidence.suspects(5));
+  CHECK(fleet.weak(2).evidence.isSuspect(5));
 }
 
 TEST_CASE("old versions that do not know the messages are left alone for a while",
@@ -203,15 +203,15 @@
     fleet.nodes[index]->is_deaf = true;
   }
   FleetNode& alone = *fleet.nodes[0];
-  alone.evidence.isAnswered(1);
+  alone.evidence.recordAnswer(1);
   for (int round = 0; round < 40; ++round) {
-    alone.evidence.loses(5, static_cast<std::uint16_t>(round));
+    alone.evidence.recordUnanswered(5, static_cast<std::uint16_t>(round));
     fleet.scheduler.advance(milliseconds(100));
   }
   // Eleven others, four at a time, each for two seconds; bounded by the bytes of reports.
   CHECK(alone.bytes <= 4 * 350 + 500 + 400);
-  CHECK(alone.evidence.own.isSuspect(BackendId(5)));
-  CHECK_FALSE(alone.evidence.suspects(6));
+  CHECK(alone.evidence.local.isSuspect(BackendId(5)));
+  CHECK_FALSE(alone.evidence.isSuspect(6));
 }
 
 TEST_CASE("nothing is sent in a calm hour", "[evidence_exchange]") {
@@ -219,8 +219,8 @@
   for (int second = 0; second < 3600; ++second) {
     for (const auto& node : fleet.nodes) {
       const BackendId backend(1 + static_cast<std::uint32_t>(second) % 30);
-      node->evidence.own.onOpening(backend);
-      node->evidence.own.onProgress(backend);
+      node->evidence.local.onOpening(backend);
+      node->evidence.local.onProgress(backend);
     }
     fleet.scheduler.advance(seconds(1));
   }
@@ -244,9 +244,9 @@
     for (const auto& node : fleet.nodes) {
       const auto server = static_cast<std::uint32_t>(1 + random->below(30));
       if (server % 3 == 0) {
-        node->evidence.isAnswered(server);
+        node->evidence.recordAnswer(server);
       } else {
-        node->evidence.loses(server, static_cast<std::uint16_t>(random->below(1000)));
+        node->evidence.recordUnanswered(server, static_cast<std::uint16_t>(random->below(1000)));
       }
     }
     fleet.scheduler.advance(milliseconds(100));
--- a/tests/flow/cold_backend_limit_test.cc
+++ b/tests/flow/cold_backend_limit_test.cc
@@ -12,7 +12,7 @@
 
 constexpr double kFlowsPerSecond = 10;
 /** With the default settings: 10 x 1.5 + 5. */
-constexpr std::size_t kBound = 20;
+constexpr std::size_t kMaxFlowsPerSecond = 20;
 
 Backend coldBackend(const ManualTimeSource& time, std::uint32_t id = 1) {
   Backend backend = makeBackend(id, ServiceId(1), kLac);
@@ -22,9 +22,9 @@
   return backend;
 }
 
-std::size_t placeAll(ColdBackendLimit& limit, const Backend& backend, std::size_t tries) {
+std::size_t placeAll(ColdBackendLimit& limit, const Backend& backend, std::size_t attempts) {
   std::size_t placed = 0;
-  for (std::size_t count = 0; count < tries; ++count) {
+  for (std::size_t count = 0; count < attempts; ++count) {
     if (limit.admits(backend)) {
       limit.onPlaced(backend);
       ++placed;
@@ -51,11 +51,11 @@
   const Backend cold = coldBackend(time);
   CHECK(placeAll(limit, cold, 100) == 0);
   time.elapsed += ColdBackendLimitSettings().start_delay;
-  CHECK(placeAll(limit, cold, 100) == kBound / 4);
+  CHECK(placeAll(limit, cold, 100) == kMaxFlowsPerSecond / 4);
   time.elapsed += milliseconds(1050);
   CHECK(placeAll(limit, cold, 100) == 0);
   time.elapsed += milliseconds(100);
-  CHECK(placeAll(limit, cold, 100) == kBound / 4);
+  CHECK(placeAll(limit, cold, 100) == kMaxFlowsPerSecond / 4);
   limit.setIsOwner([](std::uint64_t) { return false; });
   time.elapsed += seconds(2);
   CHECK(placeAll(limit, cold, 100) == 0);
@@ -79,17 +79,17 @@
   for (std::uint32_t address = 1; address <= fleet; ++address) {
     all.push_back(Endpoint{address, 1});
   }
-  constexpr std::uint64_t kServers = 50;
+  constexpr std::uint64_t kBackends = 50;
   for (const KnownPeer& self : all) {
     PeerDirectory directory({}, self, {}, time, *random);
     directory.onTold(all);
-    for (std::uint64_t server = 1; server <= kServers; ++server) {
-      owners[server] += directory.isOwner(server, kOwnersPerColdBackend) ? 1 : 0;
+    for (std::uint64_t backend_id = 1; backend_id <= kBackends; ++backend_id) {
+      owners[backend_id] += directory.isOwner(backend_id, kOwnersPerColdBackend) ? 1 : 0;
     }
   }
-  for (std::uint64_t server = 1; server <= kServers; ++server) {
-    CHECK(owners[server] >= 1);
-    CHECK(owners[server] <= kOwnersPerColdBackend);
+  for (std::uint64_t backend_id = 1; backend_id <= kBackends; ++backend_id) {
+    CHECK(owners[backend_id] >= 1);
+    CHECK(owners[backend_id] <= kOwnersPerColdBackend);
   }
 }
 
@@ -112,18 +112,18 @@
       });
       return limit;
     };
-    for (std::uint32_t own = 0; own < fleet; ++own) {
+    for (std::uint32_t local = 0; local < fleet; ++local) {
       directories.push_back(std::make_unique<PeerDirectory>(
-          PeerDirectorySettings(), Endpoint{own + 1, 1}, std::vector<Endpoint>(), time, *random));
+          PeerDirectorySettings(), Endpoint{local + 1, 1}, std::vector<Endpoint>(), time, *random));
       for (std::uint32_t peer = 0; peer < fleet; ++peer) {
-        if ((own < split) == (peer < split)) {
+        if ((local < split) == (peer < split)) {
           directories.back()->onAlive({peer + 1, 1});
         }
       }
-      limits.push_back(start(own));
+      limits.push_back(start(local));
     }
     time.elapsed += seconds(6);
-    std::deque<MonotonicTime> sent;
+    std::deque<MonotonicTime> placed_at;
     for (int step = 0; step < 400; ++step) {
       time.elapsed += milliseconds(static_cast<int>(random->below(40)));
       const std::size_t index = random->below(fleet);
@@ -131,11 +131,11 @@
         limits[index] = start(index);
       }
       const std::size_t placed = placeAll(*limits[index], cold, random->below(8));
-      sent.insert(sent.end(), placed, time.monotonicTime());
-      while (time.monotonicTime() - sent.front() > seconds(1) && !sent.empty()) {
-        sent.pop_front();
+      placed_at.insert(placed_at.end(), placed, time.monotonicTime());
+      while (time.monotonicTime() - placed_at.front() > seconds(1) && !placed_at.empty()) {
+        placed_at.pop_front();
       }
-      RC_ASSERT(sent.size() <= kBound);
+      RC_ASSERT(placed_at.size() <= kMaxFlowsPerSecond);
     }
   });
 }
--- a/tests/flow/evidence_reporter_test.cc
+++ b/tests/flow/evidence_reporter_test.cc
@@ -16,10 +16,10 @@
   Harness harness;
   std::size_t reports = 0;
   for (int second = 0; second < 3600; ++second) {
-    for (std::uint32_t server = 1; server <= 30; ++server) {
-      harness.node.own.onOpening(BackendId(server));
+    for (std::uint32_t backend = 1; backend <= 30; ++backend) {
+      harness.node.local.onOpening(BackendId(backend));
       harness.time.elapsed += milliseconds(30);
-      harness.node.isAnswered(server);
+      harness.node.recordAnswer(backend);
     }
     harness.time.elapsed += milliseconds(100);
     harness.node.shared.refresh();
@@ -32,9 +32,9 @@
 TEST_CASE("a silent server is reported once, and again when more is known of it",
           "[evidence_reporter]") {
   Harness harness;
-  harness.node.isAnswered(5);
+  harness.node.recordAnswer(5);
   harness.time.elapsed += milliseconds(400);
-  harness.node.loses(5, 1, 1);
+  harness.node.recordUnanswered(5, 1, 1);
   harness.time.elapsed += milliseconds(50);
   const auto first = harness.node.reporter.next();
   REQUIRE(first);
@@ -43,18 +43,18 @@
   CHECK(first->servers_in_use == 1);
   CHECK(first->servers_silent == 1);
   CHECK_FALSE(harness.node.reporter.next());
-  harness.node.loses(5, 2);
+  harness.node.recordUnanswered(5, 2);
   CHECK(harness.node.reporter.next()->silent.at(0).flows == 2);
-  harness.node.loses(5, 2);
+  harness.node.recordUnanswered(5, 2);
   CHECK_FALSE(harness.node.reporter.next());
   harness.time.elapsed += milliseconds(500);
-  harness.node.loses(5, 2);
+  harness.node.recordUnanswered(5, 2);
   CHECK(harness.node.reporter.next());
 }
 
 TEST_CASE("an unanswered opening is reported", "[evidence_reporter]") {
   Harness harness;
-  harness.node.own.onOpening(BackendId(5));
+  harness.node.local.onOpening(BackendId(5));
   harness.time.elapsed += milliseconds(100);
   CHECK_FALSE(harness.node.reporter.next());
   harness.time.elapsed += milliseconds(50);
@@ -67,14 +67,14 @@
 TEST_CASE("a server that answers again is reported", "[evidence_reporter]") {
   Harness harness;
   SECTION("that this node reported") {
-    harness.node.loses(5);
+    harness.node.recordUnanswered(5);
     CHECK(harness.node.reporter.next());
   }
   SECTION("that others reported") {
-    harness.node.isTold({5}, 1);
+    harness.node.reportSilent({5}, 1);
   }
   harness.time.elapsed += milliseconds(100);
-  harness.node.isAnswered(5);
+  harness.node.recordAnswer(5);
   harness.time.elapsed += milliseconds(20);
   harness.node.shared.refresh();
   const auto report = harness.node.reporter.next();
@@ -87,23 +87,23 @@
 TEST_CASE("a node that a doubted zone answers objects, twice a second at most, all together",
           "[evidence_reporter]") {
   Harness harness;
-  harness.node.isTold({11, 12, 13}, 1);
-  harness.node.isAnswered(20);
+  harness.node.reportSilent({11, 12, 13}, 1);
+  harness.node.recordAnswer(20);
   harness.time.elapsed += milliseconds(10);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
   CHECK(report->alive == std::vector<ServerLife>{{BackendId(20), 10}});
   harness.time.elapsed += milliseconds(100);
-  harness.node.isAnswered(19);
+  harness.node.recordAnswer(19);
   CHECK_FALSE(harness.node.reporter.next());
   harness.time.elapsed += milliseconds(450);
   SECTION("again after a while") {
-    harness.node.isAnswered(20);
+    harness.node.recordAnswer(20);
     CHECK(harness.node.reporter.next());
   }
   SECTION("not where another has just objected") {
-    harness.node.isToldLife(18, 100);
-    harness.node.isAnswered(20);
+    harness.node.reportProgress(18, 100);
+    harness.node.recordAnswer(20);
     CHECK_FALSE(harness.node.reporter.next());
   }
   SECTION("not where nothing answered lately") {
@@ -113,12 +113,12 @@
 
 TEST_CASE("a report counts the silent servers of the node's own zone", "[evidence_reporter]") {
   Harness harness;
-  for (const std::uint32_t server : {1U, 2U, 11U, 12U}) {
-    harness.node.isAnswered(server);
+  for (const std::uint32_t backend : {1U, 2U, 11U, 12U}) {
+    harness.node.recordAnswer(backend);
   }
-  harness.node.loses(2);
-  harness.node.loses(12);
-  harness.node.loses(13);
+  harness.node.recordUnanswered(2);
+  harness.node.recordUnanswered(12);
+  harness.node.recordUnanswered(13);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
   CHECK(report->servers_in_use == 2);
--- a/tests/flow/outlier_detector_test.cc
+++ b/tests/flow/outlier_detector_test.cc
@@ -8,7 +8,7 @@
 namespace lugfork {
 namespace {
 
-struct OutlierHarness {
+struct Harness {
   void fail(std::uint32_t id, int times) {
     for (int time_index = 0; time_index < times; ++time_index) {
       detector.onFailure(makeBackend(id, ServiceId(1), kLac), FlowKey{{1, ++attempts}, 0}, 10);
@@ -16,7 +16,7 @@
   }
 
   /** @return how long the back end stays ejected from now on. */
-  Duration timeEjected(std::uint32_t id) {
+  Duration ejectionDuration(std::uint32_t id) {
     const Duration start = time.elapsed;
     while (detector.isEjected(BackendId(id))) {
       time.elapsed += milliseconds(10);
@@ -31,7 +31,7 @@
 };
 
 TEST_CASE("an ejection follows from failures in a row, and grows with each one") {
-  OutlierHarness harness;
+  Harness harness;
   harness.fail(1, 4);
   CHECK_FALSE(harness.detector.isEjected(BackendId(1)));
   harness.detector.onSuccess(BackendId(1));
@@ -39,7 +39,7 @@
   CHECK_FALSE(harness.detector.isEjected(BackendId(1)));
   harness.fail(1, 1);
   for (int ejection = 1; ejection <= 3; ++ejection) {
-    const Duration ejected = harness.timeEjected(1);
+    const Duration ejected = harness.ejectionDuration(1);
     CHECK(ejected >= seconds(5 * ejection));
     CHECK(ejected <= seconds(6 * ejection) + milliseconds(10));
     harness.fail(1, 5);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("copies of one attempt and failures long ago do not add up") {
-  OutlierHarness harness;
+  Harness harness;
   const Backend backend = makeBackend(1, ServiceId(1), kLac);
   for (int copy = 0; copy < 50; ++copy) {
     harness.detector.onFailure(backend, FlowKey{{1, 1}, 0}, 10);
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE("no more than the set share of a service is ejected at a time") {
-  OutlierHarness harness;
+  Harness harness;
   for (std::uint32_t id = 1; id <= 10; ++id) {
     harness.fail(id, 20);
   }
--- a/tests/flow/overload_evidence_test.cc
+++ b/tests/flow/overload_evidence_test.cc
@@ -6,82 +6,83 @@
 namespace lugfork {
 namespace {
 
-constexpr Duration kPlay = seconds(12);
-constexpr Duration kDeath = seconds(4);
-constexpr double kUsualLoad = 0.8;
-const BackendId kVictim{7};
+constexpr Duration kRunDuration = seconds(12);
+constexpr Duration kFailureAt = seconds(4);
+constexpr double kNormalLoad = 0.8;
+const BackendId kFailedBackend{7};
 
-OverloadReplay::Result overload(std::uint64_t seed, const Ways& ways, double load) {
-  return OverloadReplay(seed, ways, load).run(kPlay);
+OverloadReplay::Result overload(std::uint64_t seed, const Safeguards& safeguards, double load) {
+  return OverloadReplay(seed, safeguards, load).run(kRunDuration);
 }
 
-OverloadReplay::Result rush(std::uint64_t seed, const Ways& ways, double load) {
-  return OverloadReplay(seed, ways, load, kUsualLoad).run(kPlay);
+OverloadReplay::Result surge(std::uint64_t seed, const Safeguards& safeguards, double load) {
+  return OverloadReplay(seed, safeguards, load, kNormalLoad).run(kRunDuration);
 }
 
-OverloadReplay::Result stalls(std::uint64_t seed, const Ways& ways, double load) {
-  OverloadReplay replay(seed, ways, load);
-  replay.stallSome();
-  return replay.run(kPlay);
+OverloadReplay::Result stalls(std::uint64_t seed, const Safeguards& safeguards, double load) {
+  OverloadReplay replay(seed, safeguards, load);
+  replay.enableStalls();
+  return replay.run(kRunDuration);
 }
 
-OverloadReplay::Result death(std::uint64_t seed, const Ways& ways) {
-  OverloadReplay replay(seed, ways, kUsualLoad);
-  replay.kill(kVictim, kDeath);
-  return replay.run(kPlay);
+OverloadReplay::Result backendFailure(std::uint64_t seed, const Safeguards& safeguards) {
+  OverloadReplay replay(seed, safeguards, kNormalLoad);
+  replay.kill(kFailedBackend, kFailureAt);
+  return replay.run(kRunDuration);
 }
 
 TEST_CASE("no open flow is reset while all servers live and are full", "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   const double load = GENERATE(1.3, 2.0);
-  const bool asks_others = GENERATE(true, false);
-  const auto result = overload(seed, {.asks_others = asks_others}, load);
-  CHECK(result.broken == 0);
+  const bool shares_evidence = GENERATE(true, false);
+  const auto result = overload(seed, {.shares_evidence = shares_evidence}, load);
+  CHECK(result.wrong_resets == 0);
   CHECK(result.answered > 10000);
-  CHECK(rush(seed, {.asks_others = asks_others}, load).broken == 0);
+  CHECK(surge(seed, {.shares_evidence = shares_evidence}, load).wrong_resets == 0);
 }
 
 TEST_CASE("no open flow is reset while all servers live and balancers stand still by turns",
           "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   const double load = GENERATE(0.8, 2.0);
-  const bool asks_others = GENERATE(true, false);
-  CHECK(stalls(seed, {.asks_others = asks_others}, load).broken == 0);
+  const bool shares_evidence = GENERATE(true, false);
+  CHECK(stalls(seed, {.shares_evidence = shares_evidence}, load).wrong_resets == 0);
 }
 
 TEST_CASE("open flows of a server that dies at a usual load are reset still",
           "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
-  const bool asks_others = GENERATE(true, false);
-  const auto result = death(seed, {.asks_others = asks_others});
-  CHECK(result.broken == 0);
-  CHECK(result.freed > 0);
+  const bool shares_evidence = GENERATE(true, false);
+  const auto result = backendFailure(seed, {.shares_evidence = shares_evidence});
+  CHECK(result.wrong_resets == 0);
+  CHECK(result.correct_resets > 0);
 }
 
 TEST_CASE("figures of the ways against taking full servers for dead", "[.figures]") {
   constexpr std::uint64_t kSeeds = 20;
   for (int bits = 0; bits < 8; ++bits) {
-    const Ways ways{(bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0};
+    const Safeguards safeguards{(bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0};
     int full = 0;
-    int rushed = 0;
+    int surge_resets = 0;
     int stalled = 0;
-    int freed = 0;
-    int broken = 0;
+    int correct_resets = 0;
+    int wrong_resets = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       for (const double load : {1.1, 1.3, 1.6, 2.0, 3.0}) {
-        full += overload(seed, ways, load).broken;
-        rushed += rush(seed, ways, load).broken;
+        full += overload(seed, safeguards, load).wrong_resets;
+        surge_resets += surge(seed, safeguards, load).wrong_resets;
       }
-      for (const double load : {0.5, kUsualLoad, 1.3, 2.0}) {
-        stalled += stalls(seed, ways, load).broken;
+      for (const double load : {0.5, kNormalLoad, 1.3, 2.0}) {
+        stalled += stalls(seed, safeguards, load).wrong_resets;
       }
-      const auto dead = death(seed, ways);
-      freed += dead.freed;
-      broken += dead.broken;
+      const auto dead = backendFailure(seed, safeguards);
+      correct_resets += dead.correct_resets;
+      wrong_resets += dead.wrong_resets;
     }
     std::printf(
         "asks others %d, gate %d, behind %d: full %d, rush %d, stalls %d, one dead %d (freed %d)\n",
-        ways.asks_others, ways.has_gate, ways.tells_behind, full, rushed, stalled, broken, freed);
+        safeguards.shares_evidence, safeguards.limits_false_suspicions, safeguards.detects_delay,
+        full, surge_resets, stalled, wrong_resets, correct_resets);
   }
 }
 
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -14,19 +14,20 @@
 namespace lugfork {
 
 /** What keeps a balancer from taking a full server for a dead one. */
-struct Ways {
+struct Safeguards {
   /** Open flows are reset only by what several balancers have seen. */
-  bool asks_others = true;
+  bool shares_evidence = true;
   /** Nothing is reset while many servers look silent and then answer. */
-  bool has_gate = true;
+  bool limits_false_suspicions = true;
   /** A balancer that stood still is told so. */
-  bool tells_behind = true;
+  bool detects_delay = true;
 };
 
-inline FalseSuspicionSettings gateOf(const Ways& ways) {
+inline FalseSuspicionSettings falseSuspicionSettings(const Safeguards& safeguards) {
   FalseSuspicionSettings settings;
-  settings.min_backends =
-      ways.has_gate ? settings.min_backends : std::numeric_limits<std::size_t>::max();
+  settings.min_backends = safeguards.limits_false_suspicions
+                              ? settings.min_backends
+                              : std::numeric_limits<std::size_t>::max();
   return settings;
 }
 
@@ -35,13 +36,13 @@
   using Forward = std::function<void(BackendId, CompactToken)>;
   using Reset = std::function<void(const FlowPacket&)>;
 
-  ReplayNode(const Ways& chosen, ManualTimeSource& clock, RandomGenerator& random,
+  ReplayNode(const Safeguards& chosen, ManualTimeSource& clock, RandomGenerator& random,
              const ConfigurationViewPtr& view, Forward on_forward, Reset on_reset)
-      : ways(chosen),
+      : safeguards(chosen),
         forward(std::move(on_forward)),
         reset(std::move(on_reset)),
-        silence({.false_suspicions = gateOf(chosen)}, clock, log),
-        shared({.false_suspicions = gateOf(chosen)}, silence, clock, log),
+        silence({.false_suspicions = falseSuspicionSettings(chosen)}, clock, log),
+        shared({.false_suspicions = falseSuspicionSettings(chosen)}, silence, clock, log),
         reporter(EvidenceReporterSettings(), "lac", silence, shared, clock),
         loads(LoadEstimateSettings(), clock),
         placement(PlacementSettings(), makePlacementPolicy("bounded_rendezvous"), loads, clock,
@@ -59,14 +60,14 @@
     reporter.setConfiguration(*view);
     decider.setConfiguration(view);
     decider.setCompactTokens(&tokens);
-    const BackendSuspicion& by_self = silence;
-    const BackendSuspicion& by_all = shared;
-    placement.setSuspicion(ways.asks_others ? &by_all : &by_self);
+    const BackendSuspicion& local_suspicion = silence;
+    const BackendSuspicion& shared_suspicion = shared;
+    placement.setSuspicion(safeguards.shares_evidence ? &shared_suspicion : &local_suspicion);
     placement.setRequestsInFlight(&observer.requestsInFlight());
   }
 
   void onBehind() {
-    if (ways.tells_behind) {
+    if (safeguards.detects_delay) {
       silence.onBehind();
       shared.onBehind();
       observer.onBehind();
@@ -83,17 +84,17 @@
   bool viewIsFresh() const override { return true; }
   bool backendsAreSettled() const override { return true; }
   bool resetsDeadFlows() const override { return true; }
-  bool asksOthers() const override { return ways.asks_others; }
+  bool asksOthers() const override { return safeguards.shares_evidence; }
   ViewStamp viewStamp() const override { return {}; }
   void onHandshake(Duration) override {}
   void onRequest(BackendId) override {}
   void onResponse(BackendId, Duration, ResponseTiming) override {}
   std::optional<DeathEvidence> deathByOthers(BackendId backend,
                                              std::uint16_t repetitions) const override {
-    return ways.asks_others ? shared.deathEvidence(backend, repetitions) : std::nullopt;
+    return safeguards.shares_evidence ? shared.deathEvidence(backend, repetitions) : std::nullopt;
   }
 
-  const Ways ways;
+  const Safeguards safeguards;
   const Forward forward;
   const Reset reset;
   NullEventLog log;
@@ -111,38 +112,39 @@
 class OverloadReplay {
  public:
   static constexpr std::uint32_t kNodes = 12;
-  static constexpr std::uint32_t kServers = 3 * kServersInZone;
+  static constexpr std::uint32_t kBackends = 3 * kBackendsPerZone;
   static constexpr std::size_t kSlots = 2;
-  static constexpr std::size_t kQueue = 8;
-  static constexpr Duration kWork = milliseconds(50);
-  static constexpr Duration kThink = milliseconds(300);
+  static constexpr std::size_t kQueueLength = 8;
+  static constexpr Duration kServiceTime = milliseconds(50);
+  static constexpr Duration kThinkTime = milliseconds(300);
   /** Nearly all flows go through another balancer after this long. */
-  static constexpr Duration kEra = seconds(3);
+  static constexpr Duration kRoutingPeriod = seconds(3);
   /** When callers beyond the usual begin. */
-  static constexpr Duration kRush = seconds(4);
-  static constexpr Duration kStall = milliseconds(700);
+  static constexpr Duration kSurgeAt = seconds(4);
+  static constexpr Duration kStallDuration = milliseconds(700);
   /** Callers give an opening up after this long, and a request of an open flow. */
-  static constexpr Duration kOpeningPatience = milliseconds(1400);
-  static constexpr Duration kRequestPatience = seconds(3);
+  static constexpr Duration kOpeningTimeout = milliseconds(1400);
+  static constexpr Duration kRequestTimeout = seconds(3);
 
   struct Result {
     int answered = 0;
     /** Resets of open flows whose server lives. */
-    int broken = 0;
+    int wrong_resets = 0;
     /** Resets of open flows of the dead server. */
-    int freed = 0;
+    int correct_resets = 0;
     /** Openings at the dead server after it died. */
     int lost_openings = 0;
   };
 
   /** Three balancers stand still for 0.7 s of each 2 s; their packets wait. */
-  void stallSome() { stalled_nodes_ = 3; }
+  void enableStalls() { stalled_nodes_ = 3; }
 
   /**
    * @param load requests offered, as a multiple of what the servers' slots do.
    * @param usual of them, what is offered from the start; the rest begins together, later.
    */
-  OverloadReplay(std::uint64_t seed, const Ways& ways, double load, double usual = 100)
+  OverloadReplay(std::uint64_t seed, const Safeguards& safeguards, double load,
+                 double initial_load = 100)
       : random_(makeSeededRandom(seed)),
         view_(viewOf(threeZones())),
         collector_(EvidenceCollectorSettings(), "lac", time_, log_,
@@ -151,24 +153,24 @@
                    }) {
     for (std::uint32_t index = 0; index < kNodes; ++index) {
       nodes_.push_back(std::make_unique<ReplayNode>(
-          ways, time_, *random_, view_,
+          safeguards, time_, *random_, view_,
           [this](BackendId backend, CompactToken token) { onForward(backend, token); },
           [this](const FlowPacket& packet) { onReset(packet); }));
     }
-    const double requests_a_second = load * kServers * kSlots * seconds(1) / kWork;
-    const double cycle = std::chrono::duration<double>(kWork + kThink).count();
-    flows_.resize(static_cast<std::size_t>(requests_a_second * cycle));
+    const double requests_per_second = load * kBackends * kSlots * seconds(1) / kServiceTime;
+    const double cycle = std::chrono::duration<double>(kServiceTime + kThinkTime).count();
+    flows_.resize(static_cast<std::size_t>(requests_per_second * cycle));
     for (std::size_t index = 0; index < flows_.size(); ++index) {
-      const bool is_usual =
-          load * static_cast<double>(index) < usual * static_cast<double>(flows_.size());
-      after(scaled(kThink) + (is_usual ? Duration::zero() : kRush),
+      const bool is_initial =
+          load * static_cast<double>(index) < initial_load * static_cast<double>(flows_.size());
+      after(scaled(kThinkTime) + (is_initial ? Duration::zero() : kSurgeAt),
             [this, &flow = flows_[index]] { open(flow); });
     }
     exchangeEvidence();
   }
 
-  void kill(BackendId server, Duration when) {
-    after(when, [this, server] { dead_ = server; });
+  void kill(BackendId backend, Duration when) {
+    after(when, [this, backend] { dead_ = backend; });
   }
 
   Result run(Duration duration) {
@@ -183,21 +185,21 @@
 
  private:
   struct Flow {
-    Endpoint caller;
+    Endpoint client;
     CompactToken token;
-    BackendId server;
+    BackendId backend;
     bool open = false;
     std::uint32_t sequence = 0;
     std::uint32_t acknowledged = 0;
     /** Number of what the caller waits for; timers of earlier ones do nothing. */
     int attempt = 0;
     /** What the server has taken. */
-    int taken = 0;
+    int accepted_attempt = 0;
   };
 
-  struct Server {
+  struct BackendState {
     std::array<MonotonicTime, kSlots> free_at{};
-    std::size_t present = 0;
+    std::size_t request_count = 0;
   };
 
   void after(Duration delay, std::function<void()> event) {
@@ -210,7 +212,7 @@
 
   FlowPacket packetOf(const Flow& flow) const {
     FlowPacket packet;
-    packet.caller = flow.caller;
+    packet.caller = flow.client;
     packet.service = kListen;
     packet.token = flow.token;
     packet.sequence = flow.sequence;
@@ -219,17 +221,17 @@
   }
 
   void send(Flow& flow, const FlowPacket& packet) {
-    const auto era = static_cast<std::uint64_t>(time_.elapsed / kEra);
-    const std::uint64_t hash = (flow.caller.port + era * 7919) * 0x9e3779b97f4a7c15ULL;
+    const auto period = static_cast<std::uint64_t>(time_.elapsed / kRoutingPeriod);
+    const std::uint64_t hash = (flow.client.port + period * 7919) * 0x9e3779b97f4a7c15ULL;
     const std::size_t node = (hash >> 32) % kNodes;
-    const Duration wait = waitAt(node);
-    if (wait == Duration::zero()) {
+    const Duration delay = delayAt(node);
+    if (delay == Duration::zero()) {
       deliver(node, flow, packet);
       return;
     }
-    after(wait, [this, node, &flow, packet, was_stalled_at = time_.monotonicTime()] {
-      if (woken_at_[node] < was_stalled_at) {
-        woken_at_[node] = time_.monotonicTime();
+    after(delay, [this, node, &flow, packet, was_stalled_at = time_.monotonicTime()] {
+      if (resumed_at_[node] < was_stalled_at) {
+        resumed_at_[node] = time_.monotonicTime();
         nodes_[node]->onBehind();
       }
       deliver(node, flow, packet);
@@ -237,22 +239,22 @@
   }
 
   /** @return time until the node goes on. */
-  Duration waitAt(std::size_t node) const {
+  Duration delayAt(std::size_t node) const {
     const Duration phase = (time_.elapsed + node * milliseconds(300)) % seconds(2);
-    const bool stands = node < stalled_nodes_ && phase < kStall;
-    return stands ? kStall - phase : Duration::zero();
+    const bool is_stalled = node < stalled_nodes_ && phase < kStallDuration;
+    return is_stalled ? kStallDuration - phase : Duration::zero();
   }
 
   void deliver(std::size_t node, Flow& flow, const FlowPacket& packet) {
-    at_hand_ = &flow;
-    caller_at_hand_ = packet.caller;
-    asks_ = packet.opens || packet.payload_bytes > 0;
+    current_flow_ = &flow;
+    current_client_ = packet.caller;
+    expects_answer_ = packet.opens || packet.payload_bytes > 0;
     nodes_[node]->router.onPacket(packet);
   }
 
   /** Sends now, then after 0.2, 0.6 and 1.4 s until it is answered or given up. */
-  void attempt(Flow& flow, Duration patience,
-               const std::function<void(std::uint32_t copy)>& send_copy) {
+  void attempt(Flow& flow, Duration timeout,
+               const std::function<void(std::uint32_t retransmission)>& transmit) {
     const int attempt = ++flow.attempt;
     const auto unless_answered = [this, &flow, attempt](Duration delay, auto event) {
       after(delay, [&flow, attempt, event] {
@@ -261,39 +263,39 @@
         }
       });
     };
-    unless_answered(patience, [this, &flow] { giveUp(flow); });
-    std::uint32_t copy = 0;
+    unless_answered(timeout, [this, &flow] { abandon(flow); });
+    std::uint32_t retransmission = 0;
     for (const Duration delay : {milliseconds(200), milliseconds(600), milliseconds(1400)}) {
-      ++copy;
-      if (delay < patience) {
-        unless_answered(delay, [send_copy, copy] { send_copy(copy); });
+      ++retransmission;
+      if (delay < timeout) {
+        unless_answered(delay, [transmit, retransmission] { transmit(retransmission); });
       }
     }
-    send_copy(0);
+    transmit(0);
   }
 
   void open(Flow& flow) {
     const int attempts = flow.attempt;
     flow = Flow();
     flow.attempt = attempts;
-    flow.caller = {kCaller.address, ++last_port_};
-    attempt(flow, kOpeningPatience, [this, &flow](std::uint32_t copy) {
+    flow.client = {kCaller.address, ++last_port_};
+    attempt(flow, kOpeningTimeout, [this, &flow](std::uint32_t retransmission) {
       FlowPacket packet = packetOf(flow);
       packet.opens = true;
-      packet.acknowledged = copy;
+      packet.acknowledged = retransmission;
       send(flow, packet);
     });
   }
 
   void request(Flow& flow) {
-    attempt(flow, kRequestPatience, [this, &flow](std::uint32_t) {
+    attempt(flow, kRequestTimeout, [this, &flow](std::uint32_t) {
       FlowPacket packet = packetOf(flow);
       packet.payload_bytes = 100;
       send(flow, packet);
     });
   }
 
-  void giveUp(Flow& flow) {
+  void abandon(Flow& flow) {
     if (flow.open) {
       FlowPacket packet = packetOf(flow);
       packet.aborts = true;
@@ -303,35 +305,35 @@
   }
 
   void onReset(const FlowPacket& packet) {
-    Flow& flow = *at_hand_;
-    if (packet.caller != flow.caller) {
+    Flow& flow = *current_flow_;
+    if (packet.caller != flow.client) {
       return;
     }
     if (!packet.opens) {
-      (flow.server == dead_ ? result_.freed : result_.broken) += 1;
+      (flow.backend == dead_ ? result_.correct_resets : result_.wrong_resets) += 1;
     }
     ++flow.attempt;
     after(milliseconds(20), [this, &flow] { open(flow); });
   }
 
   void onForward(BackendId backend, CompactToken token) {
-    Flow& flow = *at_hand_;
-    if (caller_at_hand_ != flow.caller) {
+    Flow& flow = *current_flow_;
+    if (current_client_ != flow.client) {
       return;
     }
-    Server& server = servers_[backend];
+    BackendState& state = backends_[backend];
     if (backend == dead_) {
       result_.lost_openings += flow.open ? 0 : 1;
       return;
     }
     // A full server says nothing; an opening takes no slot.
-    if (!asks_ || server.present >= kSlots + kQueue) {
+    if (!expects_answer_ || state.request_count >= kSlots + kQueueLength) {
       return;
     }
     if (!flow.open) {
       flow.open = true;
       flow.token = token;
-      flow.server = backend;
+      flow.backend = backend;
       flow.acknowledged = 1;
       ++flow.attempt;
       after(milliseconds(1), [this, &flow, attempt = flow.attempt] {
@@ -341,19 +343,19 @@
       });
       return;
     }
-    if (flow.taken != flow.attempt) {
-      work(flow, server);
+    if (flow.accepted_attempt != flow.attempt) {
+      process(flow, state);
     }
   }
 
-  void work(Flow& flow, Server& server) {
-    flow.taken = flow.attempt;
-    MonotonicTime& slot = *std::min_element(server.free_at.begin(), server.free_at.end());
-    slot = std::max(slot, time_.monotonicTime()) + scaled(kWork);
-    ++server.present;
-    after(slot - time_.monotonicTime(), [this, &flow, &server, attempt = flow.attempt] {
-      --server.present;
-      if (flow.attempt == attempt && flow.server != dead_) {
+  void process(Flow& flow, BackendState& state) {
+    flow.accepted_attempt = flow.attempt;
+    MonotonicTime& slot = *std::min_element(state.free_at.begin(), state.free_at.end());
+    slot = std::max(slot, time_.monotonicTime()) + scaled(kServiceTime);
+    ++state.request_count;
+    after(slot - time_.monotonicTime(), [this, &flow, &state, attempt = flow.attempt] {
+      --state.request_count;
+      if (flow.attempt == attempt && flow.backend != dead_) {
         onAnswer(flow);
       }
     });
@@ -365,7 +367,7 @@
     flow.sequence += 100;
     flow.acknowledged += 500;
     send(flow, packetOf(flow));
-    after(scaled(kThink), [this, &flow, attempt = flow.attempt] {
+    after(scaled(kThinkTime), [this, &flow, attempt = flow.attempt] {
       if (flow.attempt == attempt) {
         request(flow);
       }
@@ -398,15 +400,15 @@
   std::multimap<MonotonicTime, std::function<void()>> events_;
   std::vector<std::unique_ptr<ReplayNode>> nodes_;
   EvidenceCollector collector_;
-  std::map<BackendId, Server> servers_;
+  std::map<BackendId, BackendState> backends_;
   std::vector<Flow> flows_;
   std::size_t stalled_nodes_ = 0;
-  std::array<MonotonicTime, kNodes> woken_at_{};
-  Flow* at_hand_ = nullptr;
+  std::array<MonotonicTime, kNodes> resumed_at_{};
+  Flow* current_flow_ = nullptr;
   /** Of the packet at hand; its flow may have been given up meanwhile. */
-  Endpoint caller_at_hand_;
+  Endpoint current_client_;
   /** The packet at hand wants an answer. */
-  bool asks_ = false;
+  bool expects_answer_ = false;
   std::uint16_t last_port_ = 0;
   BackendId dead_;
   Result result_;
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -20,7 +20,7 @@
 }
 
 /** What a caller sends on a flow, as an observer sees it. */
-struct ObserverHarness {
+struct Harness {
   void open(std::uint16_t port, BackendId backend) {
     FlowPacket packet = packetOf(port);
     packet.opens = true;
@@ -41,7 +41,7 @@
 };
 
 TEST_CASE("a request counts from the opening until its answer", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.open(5000, kFirst);
   CHECK(harness.count(kFirst) == 1);
   harness.send(5000, kFirst, 1, 0);
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("copies and resent data count once", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.open(5000, kFirst);
   harness.open(5000, kFirst);
   harness.send(5000, kFirst, 1, 100);
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("a copy of an opening that goes elsewhere counts there only", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.open(5000, kFirst);
   harness.open(5000, kSecond);
   CHECK(harness.count(kFirst) == 0);
@@ -73,7 +73,7 @@
 
 TEST_CASE("a flow that comes from another node counts from its next request",
           "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.send(5000, kFirst, 900, 0);
   CHECK(harness.count(kFirst) == 0);
   harness.send(5001, kFirst, 900, 100);
@@ -81,14 +81,14 @@
 }
 
 TEST_CASE("a flow that ends no longer counts", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.open(5000, kFirst);
   harness.observer.remove(packetOf(5000).flow());
   CHECK(harness.count(kFirst) == 0);
 }
 
 TEST_CASE("a request whose end is never seen stops counting", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   SECTION("an opening without an answer") {
     harness.open(5000, kFirst);
     harness.time.elapsed += milliseconds(201);
@@ -104,7 +104,7 @@
 }
 
 TEST_CASE("requests at back ends that are gone are forgotten", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   harness.open(5000, kFirst);
   harness.open(5001, BackendId{99});
   harness.observer.retain(*viewOf(twoServices()));
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE("the count of a back end is bounded", "[requests_in_flight]") {
-  ObserverHarness harness;
+  Harness harness;
   for (std::uint16_t port = 1; port <= 1000; ++port) {
     harness.open(port, kFirst);
   }
