--- a/src/flow/backend_load_table.cc
+++ b/src/flow/backend_load_table.cc
@@ -7,19 +7,25 @@
 
 namespace {
 
-/** Part of a new sample in the smoothed placement rate and residence. */
+/** Weight of a new sample in the smoothed placement rate, residence time and number of requests. */
 constexpr double kSmoothing = 0.3;
 
-/** Weight of a report from which it may close a back end to new flows. */
+/** Minimum weight of a report that may exclude a backend from placement. */
 constexpr double kMinReportWeight = 0.5;
 
-/** Residences after which about a third is left of what a report showed beyond the usual. */
+/**
+ * Residence times after which the excess of a report over the smoothed number has decayed to 1/e.
+ */
 constexpr double kExcessTimeConstant = 3;
 
-/** A balancer places on a free back end at least this often for each residence. */
+/**
+ * Minimum number of placements that a balancer may have present on a backend with free capacity.
+ */
 constexpr double kMinPlacements = 1;
 
-/** Part of a place by which the share may be exceeded, since placements are whole. */
+/**
+ * Fraction of a placement by which the limit may be exceeded, since placements are whole numbers.
+ */
 constexpr double kPlacementSlack = 0.5;
 
 double toSeconds(Duration duration) {
@@ -53,7 +59,7 @@
     updateDraining(entry, report);
   }
   const MonotonicTime now = time_source_.monotonicTime();
-  // Placed while the report was on its way: not in its numbers yet.
+  // Placements made while the report was in transit are not in its numbers yet.
   const double lag_ms = static_cast<double>(toUnixMilliseconds(time_source_.systemTime())) -
                         static_cast<double>(report.measured_at_ms);
   const double interval_ms = 1000 * toSeconds(now - entry.report_received_at);
@@ -142,7 +148,7 @@
   if (entry == nullptr) {
     return false;
   }
-  // Unlike load, this does not age: only the back end itself takes it back.
+  // Unlike the load, this does not expire: only the backend itself revokes it.
   return entry->reported_draining || entry->refused_as_draining_ms != 0;
 }
 
--- a/src/flow/backend_load_table.h
+++ b/src/flow/backend_load_table.h
@@ -9,93 +9,98 @@
 
 namespace lugfork {
 
-/** Tunables of the load estimate. */
+/** Settings of the load estimate. */
 struct LoadEstimateSettings {
-  /** Age at which a report says nothing any more; its weight falls smoothly until then. */
+  /** Age at which a report expires; its weight decreases smoothly until then. */
   Duration report_ttl = seconds(10);
-  /** Age at which a report of an unreachable back end is no longer believed. */
+  /** Age at which a report that a backend is unreachable expires. */
   Duration state_ttl = seconds(120);
-  /** A refusal because the back end leaves holds this long against reports that deny it. */
+  /** Time for which a rejection by a draining backend outweighs reports that it is not draining. */
   Duration draining_refusal_ttl = seconds(10);
-  /** A back end younger than this gets a rising share of new flows. */
+  /** A backend with a shorter uptime gets an increasing fraction of its usual new flows. */
   Duration slow_start_duration = seconds(10);
-  /** Share that a back end gets right after its start. */
+  /** Fraction that a backend gets right after its start. */
   double min_slow_start_fraction = 0.1;
-  /** What was placed here stands for 1 + (live balancers - 1) times this much. */
+  /** A placement by this balancer counts as 1 + (live balancers - 1) times this. */
   double peer_placement_weight = 1;
-  /** Smallest load that a report is believed to show, as a share of the service's mean load. */
+  /** Lower bound of a reported load, as a ratio to the service's mean load. */
   double min_report_ratio = 1;
-  /** Residences after which about a third of what was placed here counts as present still. */
+  /** Residence times after which the count of placements by this balancer has decayed to 1/e. */
   double placement_time_constant = 1;
-  /** Bounds of the estimated time for which a placed request counts to a back end's load. */
+  /** Bounds of the estimated time for which a placed request counts towards a backend's load. */
   Duration min_residence = milliseconds(20);
   Duration max_residence = seconds(10);
 };
 
 /**
- * What this balancer believes about the load and the state of each back end: the last report,
- * what was placed here since, and the back end's own refusals.
+ * This balancer's estimate of the load and the state of each backend, from the last report, the
+ * placements since, and the backend's own rejections.
  */
 class BackendLoadTable {
  public:
   BackendLoadTable(LoadEstimateSettings settings, const TimeSource& time_source)
       : settings_(settings), time_source_(time_source) {}
 
-  /** Takes a report unless a newer one is known. @return true if it was taken. */
+  /**
+   * Applies a report unless a newer one is known.
+   * @return true if it was applied.
+   */
   bool onReport(const BackendReport& report);
 
-  /** Notes that this balancer placed a flow on the back end. */
+  /** Records that this balancer placed a flow on the backend. */
   void onPlaced(const Backend& backend);
 
-  /** Notes the back end's own word that it takes nothing new for a while. */
+  /** Records a rejection by the backend, which accepts no new work for the given time. */
   void onRefusal(BackendId backend, Duration retry_after);
 
-  /** Notes the back end's own word that it is leaving. */
+  /** Records a rejection by the backend because it is draining. */
   void onDrainingRefusal(BackendId backend);
 
-  /** Sets the number of balancers that place flows; a back end's free places are shared by them. */
+  /** Sets the number of balancers that place flows; they max_placements the free capacity of a
+   * backend. */
   void setLiveBalancers(std::uint32_t count) { live_balancers_ = count == 0 ? 1 : count; }
 
   /**
-   * Learns what the back ends of a service have in common: the mean load, and how long a request
-   * stays (requests present over requests placed a second). To be called a few times a second.
+   * Updates the figures that the backends of a service max_placements: the mean load, and the
+   * residence time of a request (requests present divided by placements per second). To be called a
+   * few times a second.
    */
   void refreshService(ServiceId service, std::span<const Backend* const> backends);
 
-  /** @return true if the back end may get new flows; both of the following. */
+  /** @return true if the backend may get new flows: it accepts new work and looks reachable. */
   bool mayPlace(const Backend& backend) const {
     return acceptsNewWork(backend) && looksReachable(backend);
   }
 
-  /** @return true where the back end is declared to leave, or says itself that it leaves. */
+  /** @return true if the backend is declared as draining, or reports that it is. */
   bool isDraining(const Backend& backend) const;
 
-  /** @return false where the back end leaves or has just refused, by its own word. */
+  /** @return false if the backend is draining or has just rejected a flow. */
   bool acceptsNewWork(const Backend& backend) const;
 
-  /** @return false where a current report says that the back end can't be reached. */
+  /** @return false if a current report says that the backend is unreachable. */
   bool looksReachable(const Backend& backend) const;
 
   /**
-   * @param full_load load over slots from which a back end is full.
-   * @return true if the back end is full by a fresh report, or if this balancer has used its share
-   * of the places that the report showed free.
+   * @param full_load ratio of load to slots from which a backend is full.
+   * @return true if the backend is full by a recent report, or if this balancer has used its
+   * fraction of the capacity that the report showed as free.
    */
   bool isFull(const Backend& backend, double full_load) const;
 
-  /** @return true where a fresh report shows a free slot. */
+  /** @return true if a recent report shows a free slot. */
   bool hasFreeSlot(const Backend& backend) const;
 
-  /** @return estimated load over capacity; 1 stands for all slots busy. */
+  /** @return estimated load over capacity; 1 means that all slots are busy. */
   double estimatedLoad(const Backend& backend) const;
 
-  /** @return last reported load over capacity, without what was placed since. */
+  /** @return last reported load over capacity, without the placements since. */
   double reportedLoad(const Backend& backend) const;
 
-  /** @return estimated time for which a request of the service stays at its back end. */
+  /** @return estimated residence time of a request of the service at its backend. */
   Duration residence(ServiceId service) const;
 
-  /** @return true once a report or a back end's own word that it leaves has come. */
+  /** @return true once any report or draining rejection has been received. */
   bool hasReports() const { return has_reports_; }
 
   /** @return the last report, or nullptr. */
@@ -107,18 +112,21 @@
     MonotonicTime report_received_at;
     /** Requests present, smoothed over reports. */
     double smoothed_requests = 0;
-    /** Age of the last report at its arrival, in seconds. */
+    /** Age of the last report at its arrival [s]. */
     double report_lag = 0;
     bool has_report = false;
-    /** Requests placed here and believed to be present still, as of placed_at. */
+    /** Requests placed by this balancer and estimated to be still present, as of placed_at. */
     double placed = 0;
     MonotonicTime placed_at;
     ServiceId service;
-    /** The last report that got an answer said that the back end takes nothing new. */
+    /** The last successful report said that the backend is draining. */
     bool reported_draining = false;
-    /** The back end refused work because it leaves; wall-clock time of that, 0 for none [ms]. */
+    /**
+     * Wall-clock time of the last rejection because of draining [ms since the Unix epoch]; 0 for
+     * none.
+     */
     std::uint64_t refused_as_draining_ms = 0;
-    /** Uptime in the last report that got an answer. */
+    /** Uptime in the last successful report. */
     std::uint32_t last_uptime_ms = 0;
     MonotonicTime no_new_work_until;
   };
@@ -128,29 +136,29 @@
     Duration residence{};
     /** Placements by this balancer since the last refresh. */
     std::uint64_t placements = 0;
-    /** Smoothed placements a second by all balancers. */
+    /** Smoothed placements per second by all balancers. */
     double placement_rate = 0;
     MonotonicTime refreshed_at;
   };
 
   const Entry* find(BackendId backend) const;
   const ServiceLoad* findService(ServiceId service) const;
-  /** Takes what a report that got an answer says about leaving and restarts. */
+  /** Applies what a successful report says about draining and restarts. */
   void updateDraining(Entry& entry, const BackendReport& report);
   bool reportIsCurrent(const Entry& entry) const;
   bool stateIsCurrent(const Entry& entry) const;
 
-  /** @return how far the report is believed, from 1 (new) to 0 (at the end of its lifetime). */
+  /** @return weight of the report, from 1 (new) to 0 (expired). */
   double reportWeight(const Entry& entry) const;
   double slowStartFraction(const Entry& entry) const;
 
   /**
-   * @return requests present by the reports: what the last one showed beyond the usual number has
-   * ended after a few residences.
+   * @return requests present according to the reports. The excess of the last report over the
+   * smoothed number decays within a few residence times.
    */
   double reportedRequestsNow(const Entry& entry) const;
 
-  /** @return requests placed here that are believed to be present and not in the report. */
+  /** @return placements by this balancer that are estimated to be present and not in the report. */
   double presentPlacements(const Entry& entry) const;
   void updatePlacementRate(ServiceLoad& load) const;
 
@@ -159,7 +167,7 @@
   std::unordered_map<BackendId, Entry> entries_;
   std::unordered_map<ServiceId, ServiceLoad> services_;
   std::uint32_t live_balancers_ = 1;
-  /** Until then all back ends are alike, and none needs to be looked up. */
+  /** Until the first report all backends are alike, and lookups are skipped. */
   bool has_reports_ = false;
 };
 
--- a/src/flow/backend_report.h
+++ b/src/flow/backend_report.h
@@ -7,19 +7,19 @@
 
 namespace lugfork {
 
-/** Health and load of one back end as one probe saw it. */
+/** Health and load of one backend as observed by one probe. */
 struct BackendReport {
   BackendId backend;
-  /** The probe got an answer. */
+  /** The backend answered the probe. */
   bool reachable = false;
-  /** The back end's own word that it is leaving. */
+  /** The backend reports that it is draining. */
   bool draining = false;
   std::uint32_t open_connections = 0;
   std::uint32_t busy_slots = 0;
   std::uint32_t queued_requests = 0;
-  /** Time since the back end's process started. */
+  /** Time since the backend's process started. */
   std::uint32_t uptime_ms = 0;
-  /** Wall-clock time of the probe, in milliseconds since the Unix epoch. */
+  /** Wall-clock time of the probe [ms since the Unix epoch]. */
   std::uint64_t measured_at_ms = 0;
 
   auto fields() {
--- a/src/flow/cold_backend_limit.cc
+++ b/src/flow/cold_backend_limit.cc
@@ -7,10 +7,13 @@
 
 namespace {
 
-/** The bound is for any second; a bit longer, since packets of a slow machine bunch on their way.
+/**
+ * The bound holds for any second. Slightly longer, since packets of a slow machine come in bursts.
  */
 constexpr Duration kWindow = milliseconds(1100);
-/** Sets of owners that may exist at once: parts of the fleet that don't know each other. */
+/**
+ * Number of owner sets that may exist at once, in groups of the fleet that do not know each other.
+ */
 constexpr double kMaxOwnerSets = 2;
 
 }  // namespace
--- a/src/flow/cold_backend_limit.h
+++ b/src/flow/cold_backend_limit.h
@@ -9,34 +9,33 @@
 
 namespace lugfork {
 
-/** Tunables of a ColdServerLimit. */
+/** Settings of a ColdBackendLimit. */
 struct ColdBackendLimitSettings {
-  /** Flows a second that a cold server may get, as a multiple of what it says it bears... */
+  /** Flows per second that a cold backend may get, as a ratio to the rate that it declares... */
   double overage_ratio = 1.5;
-  /** ...and so many more: the operator's bound for the whole fleet. */
+  /** ...plus this many flows per second: the operator's bound for the whole fleet. */
   double slack_per_second = 5;
   /**
-   * Time after the start in which cold servers get nothing from this balancer: it does not know
-   * what it sent before, and comes to know the fleet meanwhile (two exchanges of peers).
+   * Time after its start in which this balancer places nothing on cold backends: it does not know
+   * what its previous run placed, and discovers the fleet meanwhile (two exchanges with peers).
    */
   Duration start_delay = seconds(5);
 };
 
 /**
- * Balancers that may send flows to one cold server. Two, so that the loss of one leaves another;
+ * Balancers that may place flows on one cold backend. Two, so that the loss of one leaves another;
  * the flows of one balancer are a small part of the fleet's, and each may send several a second.
  */
 inline constexpr std::size_t kOwnersPerColdBackend = 2;
 
 /**
- * Keeps the sum of the new flows that all balancers send to a server that is still warming up under
- * a bound. Each such server belongs to a few balancers, which divide half of the bound: so the
- * bound also holds where two parts of the fleet don't know each other and each chooses its own
- * owners.
+ * Bounds the total rate of new flows that all balancers place on a backend that is warming up. Each
+ * cold backend is assigned to a few owners, which divide half of the bound: so the bound also holds
+ * while a partition splits the fleet into two groups that choose owners independently.
  */
 class ColdBackendLimit {
  public:
-  /** @return true where this balancer is among the owners of the server. */
+  /** @return true if this balancer is one of the owners of the backend. */
   using IsOwner = std::function<bool(std::uint64_t server_id)>;
 
   ColdBackendLimit(ColdBackendLimitSettings settings, const TimeSource& time_source);
@@ -44,22 +43,22 @@
   /** Without it this balancer counts as the only one. */
   void setIsOwner(IsOwner is_owner) { is_owner_ = std::move(is_owner); }
 
-  /** @return true where the server is warm, or may get one more flow from this balancer now. */
+  /** @return true if the backend is warm, or may get one more flow from this balancer now. */
   bool admits(const Backend& backend) const;
 
-  /** A new flow goes to the server. */
+  /** Records that a new flow is placed on the backend. */
   void onPlaced(const Backend& backend);
 
  private:
   bool isLimited(const Backend& backend) const;
-  /** @return the most flows that this balancer sends to the server in a window. */
+  /** @return the maximum number of flows that this balancer places on the backend per window. */
   std::size_t localLimit(const Backend& backend) const;
 
   const ColdBackendLimitSettings settings_;
   const TimeSource& time_source_;
   const MonotonicTime started_at_;
   IsOwner is_owner_;
-  /** When flows were sent to cold servers, within the last window. */
+  /** Times of placements on cold backends within the last window. */
   std::unordered_map<BackendId, std::deque<MonotonicTime>> placed_at_;
 };
 
--- a/src/flow/evidence_reporter.cc
+++ b/src/flow/evidence_reporter.cc
@@ -6,9 +6,12 @@
 
 namespace {
 
-/** More flows and repetitions of one server make no difference, and this fits into a byte. */
+/**
+ * Upper bound of reported flows and retransmissions: more make no difference, and it fits into a
+ * byte.
+ */
 constexpr std::size_t kMaxReportedCount = 200;
-/** Time after which it is forgotten that a sign of life was reported, to bound the memory. */
+/** Time after which reported progress is removed, to bound memory use. */
 constexpr Duration kReportedProgressTtl = seconds(10);
 
 }  // namespace
--- a/src/flow/evidence_reporter.h
+++ b/src/flow/evidence_reporter.h
@@ -4,47 +4,62 @@
 
 namespace lugfork {
 
-/** Bounds of what a node reports. */
+/** Settings of an EvidenceReporter. */
 struct EvidenceReporterSettings {
-  /** A server that is silent still is named again after this long, so that it stays believed. */
+  /**
+   * Interval at which a backend that stays silent is reported again, so that the evidence does not
+   * expire.
+   */
   Duration repeat_interval = milliseconds(500);
-  /** Shortest time between two reported signs of life of one server. */
+  /** Minimum interval between two reports of progress of one backend. */
   Duration min_progress_interval = milliseconds(200);
-  /** Shortest time between two objections to a zone's being suspect, by anybody: half of the time
-   * for which one counts. */
+  /**
+   * Minimum interval between two objections, by any balancer, to a zone's being suspect: half of
+   * SharedEvidenceSettings::objection_ttl.
+   */
   Duration min_objection_interval = milliseconds(500);
-  /** Time within which servers count as in use. */
+  /** Time within which a backend must have been used to count as in use. */
   Duration in_use_window = seconds(2);
 };
 
-/** Makes a node's reports: what it has seen since the last one, and nothing where nothing is new.
+/**
+ * Builds this balancer's reports: changes since the last report, and no report if there are none.
  */
 class EvidenceReporter {
  public:
-  /** @param zone of this node. */
+  /** @param zone of this balancer. */
   EvidenceReporter(EvidenceReporterSettings settings, std::string zone,
                    const SilenceDetector& local, const SharedEvidence& shared,
                    const TimeSource& time_source);
 
-  /** Sets the zone's id in the configuration in force. */
+  /** Looks up the zone's id in the configuration in force. */
   void setConfiguration(const ConfigurationView& configuration);
 
-  /** @return what is new; nothing where that is nothing. */
+  /** @return what has changed since the last report, or nothing. */
   std::optional<EvidenceReport> next();
 
   const std::string& zone() const { return zone_; }
 
  private:
-  /** Adds silent servers with news, and those reported before that have answered since. */
+  /**
+   * Adds silent backends with changed observations, and previously reported ones that have answered
+   * since.
+   */
   void addSilent(EvidenceReport& report);
-  /** Adds servers that others report as silent and that have answered this node since. */
+  /** Adds backends that peers report as silent and that have answered this balancer since. */
   void addAlive(EvidenceReport& report);
-  /** Objects to a zone's being out of reach, by one of its servers. */
+  /** Adds objections to suspect zones: for each, one backend that answers. */
   void addAliveZones(EvidenceReport& report);
-  /** @return the zone's server that answered this node last, within the gap; unset for none. */
+  /**
+   * @return the zone's backend that answered this balancer last, within the minimum interval; unset
+   * for none.
+   */
   BackendId lastAnsweringBackend(ZoneId zone) const;
   void addProgress(EvidenceReport& report, BackendId backend, MonotonicTime progress_at);
-  /** Adds how many servers are in use and silent: of the own zone, or of all where it has none. */
+  /**
+   * Adds the numbers of backends in use and silent: of the local zone, or of all zones if the local
+   * one has none in use.
+   */
   void addUsage(EvidenceReport& report) const;
   bool isNew(const SilenceObservation& seen) const;
 
@@ -54,7 +69,7 @@
   const SharedEvidence& shared_;
   const TimeSource& time_source_;
   std::optional<ZoneId> zone_id_;
-  /** What was reported last of each server that is silent still. */
+  /** Last reported observation of each backend that is still silent. */
   std::unordered_map<BackendId, SilenceObservation> reported_;
   std::unordered_map<BackendId, MonotonicTime> progress_reported_at_;
   std::unordered_map<ZoneId, MonotonicTime> objected_at_;
--- a/src/flow/false_suspicions.h
+++ b/src/flow/false_suspicions.h
@@ -8,38 +8,47 @@
 
 namespace lugfork {
 
-/** When back ends that looked silent and then answered speak for overload. */
+/**
+ * Settings of FalseSuspicions: when backends that looked silent and then answered indicate
+ * overload.
+ */
 struct FalseSuspicionSettings {
-  /** Time for which one counts: a caller's attempt and its two retries end in 4.2 s. */
+  /** Time for which one counts; a client's attempt and its two retries end within 4.2 s. */
   Duration window = seconds(5);
-  /** Back ends of a service; fewer may have failed, or lost a packet, each for itself. */
+  /**
+   * Minimum number of backends of a service: fewer may have failed or lost a packet independently.
+   */
   std::size_t min_backends = 3;
-  /** Share of the service's back ends in use; more than single servers fail at a time. */
+  /** Minimum fraction of the service's backends in use; single backends that fail stay below it. */
   double min_fraction = 0.2;
 };
 
 /**
- * Back ends that looked silent and then answered. Where many of a service do, its servers are late
- * rather than dead, and silence proves nothing. Asking is cheap: each entry is dropped once.
+ * Tracks backends that looked silent and then answered. If many backends of a service do so, they
+ * are slow rather than dead, and silence is no evidence. Queries take amortized constant time: each
+ * entry is removed once.
  */
 class FalseSuspicions {
  public:
   FalseSuspicions(FalseSuspicionSettings settings, const TimeSource& time_source)
       : settings_(settings), time_source_(time_source) {}
 
-  /** A back end that had looked silent has answered. */
+  /** Records that a backend that had looked silent has answered. */
   void add(ServiceId service, BackendId backend);
 
-  /** @return back ends of the service that did so lately, each counted once. */
+  /** @return the number of distinct backends of the service that did so within the window. */
   std::size_t count(ServiceId service) const;
 
-  /** @param in_use back ends of the service that are in use. */
+  /**
+   * @param in_use number of the service's backends in use.
+   * @return true if there are enough false suspicions to indicate overload.
+   */
   bool exceedThreshold(ServiceId service, std::size_t in_use) const;
 
  private:
   struct Answers {
     std::unordered_map<BackendId, MonotonicTime> last;
-    /** All of them, the oldest first. */
+    /** All answers, oldest first. */
     std::deque<std::pair<MonotonicTime, BackendId>> by_time;
   };
 
@@ -47,7 +56,7 @@
 
   const FalseSuspicionSettings settings_;
   const TimeSource& time_source_;
-  /** Old entries are dropped when they are asked for. */
+  /** Expired entries are removed by queries. */
   mutable std::unordered_map<ServiceId, Answers> answers_;
 };
 
--- a/src/flow/flow_observer.cc
+++ b/src/flow/flow_observer.cc
@@ -14,7 +14,7 @@
   return XXH3_64bits(content, sizeof(content)) % size;
 }
 
-/** @return true if a byte number lies after another; numbers wrap around. */
+/** @return true if a sequence number is after another; sequence numbers wrap around. */
 bool isAfter(std::uint32_t number, std::uint32_t other) {
   return static_cast<std::int32_t>(number - other) > 0;
 }
@@ -116,7 +116,7 @@
   const MonotonicTime now = time_source_.monotonicTime();
   const Duration handshake = flow.open ? Duration::zero() : now - flow.progress_at;
   if (!flow.open) {
-    // Callers open a flow when they have something to ask.
+    // Clients open a flow only when they have a request to send.
     in_flight_.begin(flow.backend, flow.flow, settings_.request_ttl);
   }
   flow.open = true;
--- a/src/flow/flow_observer.h
+++ b/src/flow/flow_observer.h
@@ -9,125 +9,137 @@
 
 namespace lugfork {
 
-/** What one packet shows about the back end of its flow. */
+/** What a packet indicates about the backend of its flow. */
 enum class FlowEvidence {
   None,
-  /** The caller has received something new from the back end. */
+  /** The client has received new data from the backend. */
   Progress,
-  /** The caller repeats itself: the back end has not answered. */
+  /** The client retransmits: the backend has not answered. */
   Silence,
 };
 
-/** What the time of an answer, as a caller's acknowledgement shows it, is good for. */
+/** Quality of a response time that is derived from a client's acknowledgement. */
 enum class ResponseTiming {
-  /** The caller closes the flow, as callers do as soon as they have the answer. */
+  /** The client closes the flow, which clients do as soon as they have the whole answer. */
   Prompt,
-  /** Other acknowledgements wait for a second packet of the answer, or for some time. */
+  /**
+   * Other acknowledgements are delayed until a second packet of the answer arrives, or a timer
+   * ends.
+   */
   Delayed,
-  /** The request was sent again: the time shows what was lost, and no queue. */
+  /** The request was retransmitted: the time reflects packet loss rather than queueing. */
   Retransmitted,
 };
 
-/** What a later packet shows. */
+/** What a packet after the first indicates. */
 struct FlowObservation {
   FlowEvidence evidence = FlowEvidence::None;
-  /** Time since the opening, where this packet ends the handshake; else zero. */
+  /** Time since the opening if this packet completes the handshake; else zero. */
   Duration handshake{};
-  /** Repetitions of the flow since its last progress, this one included. */
+  /** Retransmissions of the flow since its last progress, including this one. */
   std::uint16_t retransmissions = 0;
-  /** Time from the first data of a request, where this packet shows its answer; else zero. */
+  /** Time since the first data of a request if this packet acknowledges its answer; else zero. */
   Duration response{};
   ResponseTiming timing = ResponseTiming::Delayed;
-  /** The packet is the first of a request that passes here. */
+  /** The packet is the first of a request seen by this balancer. */
   bool begins_request = false;
 };
 
-/** What is known of how callers send. */
+/** Settings of a FlowObserver. */
 struct FlowObserverSettings {
-  /** Flows remembered at most. */
+  /** Capacity of the table of flows. */
   std::size_t max_flows = 4096;
-  /** Most bytes that a caller sends without an acknowledgement: a later byte shows that one came.
+  /**
+   * Maximum number of bytes that a client sends without an acknowledgement; a byte beyond it
+   * implies that one was received.
    */
   std::uint32_t window_bytes = 16 * 1200;
-  /** Repeated packets closer together than this belong to one repetition. */
+  /** Packets retransmitted within this interval count as one retransmission. */
   Duration min_retransmission_interval = milliseconds(150);
-  /** Longest time for which an opening counts as a request in flight without its handshake's end.
+  /**
+   * Maximum time for which an opening counts as a request in flight before its handshake completes.
    */
   Duration opening_ttl = milliseconds(200);
-  /** Longest time for which a request counts as in flight without an answer. */
+  /** Maximum time for which a request without an answer counts as in flight. */
   Duration request_ttl = seconds(1);
 };
 
-/** What is remembered of a flow that passed here lately. */
+/** State of a recently observed flow. */
 struct ObservedFlow {
   FlowId flow;
   BackendId backend;
-  /** Number after the last byte that the caller sent. */
+  /** Sequence number after the last byte that the client sent. */
   std::uint32_t next_sequence = 0;
   std::uint32_t acknowledged = 0;
-  /** Number after the last byte sent when the last progress was seen. */
+  /** Value of next_sequence at the last progress. */
   std::uint32_t sequence_at_progress = 0;
-  /** Repetitions since the last progress. */
+  /** Retransmissions since the last progress. */
   std::uint16_t retransmissions = 0;
   bool open = false;
   MonotonicTime progress_at;
   MonotonicTime retransmitted_at;
-  /** First data since the last part of an answer; unset for none. */
+  /** Time of the first data since the last part of an answer; unset for none. */
   MonotonicTime request_at;
 };
 
 /**
- * Remembers the flows that passed here lately, to learn from what callers send whether back ends
- * answer. A cache of fixed size: a flow that is not in it is served all the same.
+ * Tracks recently observed flows, to infer from the packets of clients whether backends answer. A
+ * cache of fixed size: flows that are not in it are forwarded all the same.
  */
 class FlowObserver {
  public:
   FlowObserver(FlowObserverSettings settings, const TimeSource& time_source);
 
-  /** @return the flow, or nullptr where it is not remembered. */
+  /** @return the flow, or nullptr if it is not in the table. */
   const ObservedFlow* find(const FlowId& flow) const;
 
-  /** Notes that a flow's opening goes to the back end. */
+  /** Records that a flow's first packet is forwarded to the backend. */
   void onPlaced(const FlowPacket& packet, BackendId backend);
 
-  /** Notes a later packet. @return what it shows of the back end. */
+  /**
+   * Records a later packet.
+   * @return what it indicates about the backend.
+   */
   FlowObservation onContinuation(const FlowPacket& packet, BackendId backend);
 
-  /** @return the requests that went through this node and wait for their answer. */
+  /** @return the requests that were forwarded by this balancer and are not answered yet. */
   const RequestsInFlight& requestsInFlight() const { return in_flight_; }
 
-  /** Forgets requests in flight at back ends that are not known any more. */
+  /** Removes requests in flight at backends that are not in the configuration. */
   void retain(const ConfigurationView& configuration) { in_flight_.retain(configuration); }
 
-  /** The back end has started again: forgets its flows and its requests in flight. */
+  /** Removes the flows and the requests in flight of a backend that has restarted. */
   void onRestart(BackendId backend);
 
   /**
-   * Packets waited at this node before they were seen: repetitions up to now count no more, and
-   * the next one only after the gap.
+   * Records that packets had waited at this balancer: retransmissions up to now no longer count,
+   * and the next one counts only after the minimum interval.
    */
   void onBehind() { behind_at_ = time_source_.monotonicTime(); }
 
-  /** Forgets a flow. */
+  /** Removes a flow. */
   void remove(const FlowId& flow);
 
  private:
   ObservedFlow& slotOf(const FlowId& flow);
   const ObservedFlow& slotOf(const FlowId& flow) const;
 
-  /** What a packet shows of the request that its flow waits for. */
+  /** What a packet indicates about the pending request of its flow. */
   struct RequestObservation {
-    /** Time of the answer that the packet shows, or zero. */
+    /** Response time if the packet acknowledges an answer, or zero. */
     Duration response{};
     bool begins = false;
   };
 
-  /** Notes data and answers. */
+  /** Records request data and answers. */
   RequestObservation recordRequest(ObservedFlow& flow, const FlowPacket& packet);
 
   FlowObservation recordProgress(ObservedFlow& flow, const FlowPacket& packet);
 
-  /** Notes data that was sent before. @return true if that is a repetition of its own. */
+  /**
+   * Records retransmitted data.
+   * @return true if it counts as a new retransmission.
+   */
   bool recordRetransmission(ObservedFlow& flow) const;
 
   const FlowObserverSettings settings_;
--- a/src/flow/log_time_statistics.cc
+++ b/src/flow/log_time_statistics.cc
@@ -7,18 +7,21 @@
 
 namespace {
 
-/** Shorter times count as this [ms], since zero has no logarithm. */
+/** Lower bound of samples [ms], since the logarithm of zero is undefined. */
 constexpr double kMinSampleMs = 0.1;
 /**
- * A sample shorter than the typical one over this is left out: a server whose queue is full refuses
- * in a millisecond, and must not count as fast for that.
+ * Samples below the geometric mean divided by this are ignored: a backend with a full queue rejects
+ * within a millisecond, and must not count as fast for that.
  */
 constexpr double kMaxShortfallRatio = 6;
-/** Samples from which the typical one is known; below it every sample counts. */
+/**
+ * Number of samples from which the geometric mean is used as a filter; below it every sample
+ * counts.
+ */
 constexpr double kMinSamplesToFilter = 4;
 /**
- * Smallest spread of single times [ln ms]: work of one kind differs by a fifth at least, and a few
- * samples that are equal by chance must not pass for certainty.
+ * Minimum standard deviation of single samples [ln ms]: requests of one kind differ by at least a
+ * fifth, and a few samples that are equal by chance must not count as certainty.
  */
 constexpr double kMinSpread = 0.2;
 
--- a/src/flow/log_time_statistics.h
+++ b/src/flow/log_time_statistics.h
@@ -4,29 +4,33 @@
 
 namespace lugfork {
 
-/** Mean and spread of the logarithm of times, of which old samples fade. */
+/** Mean and variance of the sample_ln of durations, with exponentially decaying weights. */
 class LogTimeStatistics {
  public:
-  /** @param lifetime time after which a sample counts 1/e of a new one. */
+  /** @param time_constant age at which the weight of a sample has decayed to 1/e. */
   explicit LogTimeStatistics(Duration time_constant = seconds(1)) : time_constant_(time_constant) {}
 
-  /** Takes a sample; one far shorter than the typical one, such as a refusal, is ignored. */
+  /**
+   * Adds a sample. Ignores samples far below the geometric mean, such as the times of rejections.
+   */
   void add(Duration sample, MonotonicTime now);
 
-  /** @return the samples that count now, as a sum of their weights. */
+  /** @return the current sum of the weights of all samples. */
   double count(MonotonicTime now) const;
 
-  /** @return mean logarithm of the samples [ln ms]; 0 without any. */
+  /** @return mean sample_ln of the samples [ln ms]; 0 without samples. */
   double mean() const;
 
-  /** @return variance of mean(); single samples count as spread by at least a fifth. */
+  /**
+   * @return variance of mean(). The standard deviation of single samples counts as at least 0.2.
+   */
   double varianceOfMean(MonotonicTime now) const;
 
   /** @return the geometric mean of the samples [ms]. */
   double geometricMeanMs() const;
 
  private:
-  /** @return what is left of the weights since they were last brought up to date. */
+  /** @return the factor by which the weights have decayed since decayed_at_. */
   double decay(MonotonicTime now) const;
 
   Duration time_constant_;
--- a/src/flow/outlier_detector.h
+++ b/src/flow/outlier_detector.h
@@ -9,24 +9,24 @@
 
 namespace lugfork {
 
-/** Tunables of the ejection of back ends by data-path evidence. */
+/** Settings of an OutlierDetector. */
 struct OutlierDetectorSettings {
-  /** Failed attempts without any success between them that eject a back end. */
+  /** Number of consecutive failed attempts that ejects a backend. */
   std::uint32_t failures_to_eject = 5;
   /** Failures further apart than this do not add up. */
   Duration failure_window = seconds(10);
-  /** The n-th ejection in a row lasts n times this, up to the maximum. */
+  /** The n-th consecutive ejection lasts n times this, up to the maximum. */
   Duration base_ejection_duration = seconds(5);
   Duration max_ejection_duration = seconds(60);
-  /** Largest random part that is added to an ejection's time. */
+  /** Maximum random extension of an ejection, as a fraction of its duration. */
   double max_jitter_fraction = 0.2;
-  /** Largest share of a service's back ends that is ejected at a time, rounded down. */
+  /** Maximum fraction of a service's backends that is ejected at a time, rounded down. */
   double max_ejected_fraction = 0.3;
 };
 
 /**
- * Ejects back ends whose attempts keep failing, for a time that grows. Never more than a set share
- * of a service, so that a misled view does not take most of it away.
+ * Ejects backends whose attempts keep failing, for increasing durations. The ejected fraction of a
+ * service is bounded, so that misleading observations cannot remove most of it.
  */
 class OutlierDetector {
  public:
@@ -35,12 +35,12 @@
       : settings_(settings), time_source_(time_source), random_(random) {}
 
   /**
-   * Counts a failed attempt; copies of the attempt that was counted last are ignored.
-   * @param service_size back ends of the service that could get new flows.
+   * Counts a failed attempt; retransmissions of the attempt counted last are ignored.
+   * @param service_size number of the service's backends that are eligible for new flows.
    */
   void onFailure(const Backend& backend, const FlowKey& attempt, std::size_t service_size);
 
-  /** Notes that the back end works. */
+  /** Resets the failure count of a backend that is not ejected. */
   void onSuccess(BackendId backend);
 
   bool isEjected(BackendId backend) const;
@@ -56,7 +56,10 @@
 
   void eject(const Backend& backend, Record& record, std::size_t service_size);
 
-  /** Forgets ejections that are over. @return those of the service that are not. */
+  /**
+   * Removes ejections that have ended.
+   * @return the service's ejected backends.
+   */
   std::vector<BackendId>& ejectedOf(ServiceId service);
 
   const OutlierDetectorSettings settings_;
--- a/src/flow/requests_in_flight.cc
+++ b/src/flow/requests_in_flight.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Requests told apart for one back end; more make no difference. */
+/** Requests tracked for each backend; more make no difference. */
 constexpr std::size_t kMaxRequests = 64;
 
 }  // namespace
--- a/src/flow/requests_in_flight.h
+++ b/src/flow/requests_in_flight.h
@@ -10,39 +10,42 @@
 namespace lugfork {
 
 /**
- * Counts, for each back end, the requests that went to it through this node and were not answered
- * yet. A request whose end is never seen here (the flow went on through another node, or the back
- * end reset it) stops counting when its time is over.
+ * Counts, for each backend, the requests that were forwarded to it by this balancer and are not
+ * answered yet. A request whose end is not observed here (the flow moved to another balancer, or
+ * the backend reset it) stops counting when its TTL expires.
  */
 class RequestsInFlight {
  public:
   explicit RequestsInFlight(const TimeSource& time_source) : time_source_(time_source) {}
 
   /**
-   * A request of the flow is with the back end; one that the flow had there before is replaced.
-   * @param lifetime time after which it no longer counts.
+   * Records that a request of the flow is pending at the backend; replaces the flow's previous one
+   * there.
+   * @param ttl time after which it no longer counts.
    */
   void begin(BackendId backend, const FlowId& flow, Duration ttl);
 
-  /** The flow's request is answered or given up. */
+  /** Records that the flow's request is answered or abandoned. */
   void end(BackendId backend, const FlowId& flow);
 
-  /** @return the requests that count now. */
+  /** @return the number of requests that count now. */
   std::size_t count(BackendId backend) const {
     return count(backend, time_source_.monotonicTime());
   }
 
-  /** @param now the time, for who asks for many back ends: reading the clock costs as much as the
-   * count. */
+  /**
+   * @param now current time, for callers that query many backends: reading the clock costs as much
+   * as the count.
+   */
   std::size_t count(BackendId backend, MonotonicTime now) const;
 
-  /** Forgets back ends that are not known any more. */
+  /** Removes backends that are not in the configuration. */
   void retain(const ConfigurationView& configuration);
 
-  /** Forgets the requests at one back end. */
+  /** Removes the requests at one backend. */
   void remove(BackendId backend) { requests_.erase(backend); }
 
-  /** @return the back ends that are remembered. */
+  /** @return the number of backends with state. */
   std::size_t trackedBackends() const { return requests_.size(); }
 
  private:
--- a/src/flow/response_times.h
+++ b/src/flow/response_times.h
@@ -9,54 +9,59 @@
 
 namespace lugfork {
 
-/** Tunables of ResponseTimes. */
+/** Settings of ResponseTimes. */
 struct ResponseTimeSettings {
-  /** Part of a new sample in a back end's smoothed time. */
+  /** Weight of a new sample in a backend's smoothed response time. */
   double smoothing_factor = 0.3;
-  /** Samples before a back end's time is believed. */
+  /** Minimum number of samples before a backend's response time is used. */
   std::uint32_t min_samples = 3;
-  /** Time without a sample after which nothing is known any more. */
+  /** Time without a sample after which a backend's response time is no longer used. */
   Duration sample_ttl = seconds(3);
-  /** Back ends with known times that a service needs for a comparison. */
+  /** Minimum number of backends with an estimate that a service needs for a comparison. */
   std::size_t min_backends = 3;
-  /** Multiple of the service's median from which a back end counts as slow. */
+  /** Ratio to the service's median above which a backend counts as slow. */
   double slow_ratio = 1.5;
-  /** Smallest share of its usual flows that a slow back end gets, so that it is seen to recover. */
+  /**
+   * Minimum fraction of its usual flows that a slow backend gets, so that its recovery is detected.
+   */
   double min_flow_fraction = 0.1;
 };
 
-/** How fast back ends answer, compared with others of their service. */
+/** Response speed of backends, relative to others of their service. */
 class BackendSpeed {
  public:
   virtual ~BackendSpeed() = default;
 
-  /** @return the share of its usual new flows that suits the back end, from above 0 to 1. */
+  /** @return the fraction of its usual new flows that the backend should get, in (0, 1]. */
   virtual double flowFractionOf(BackendId backend) const = 0;
 };
 
 /**
- * Learns from the packets of callers how long back ends take to answer: from the first packet of a
- * request to the first that acknowledges a part of the answer. A back end that is much slower than
- * the median of its service gets fewer new flows, in proportion.
+ * Measures the response times of backends from the packets of clients: from the first packet of a
+ * request to the first acknowledgement of a part of the answer. A backend that is much slower than
+ * the median of its service gets proportionally fewer new flows.
  */
 class ResponseTimes : public BackendSpeed {
  public:
   ResponseTimes(ResponseTimeSettings settings, const TimeSource& time_source)
       : settings_(settings), time_source_(time_source) {}
 
-  /** A caller has received the beginning of an answer, that long after it began to ask. */
+  /**
+   * Adds a sample: a client received the beginning of an answer this long after it sent the
+   * request.
+   */
   void onResponse(BackendId backend, Duration duration);
 
-  /** Compares the back ends of each service anew; to be called a few times a second. */
+  /** Compares the backends of each service. To be called a few times a second. */
   void compare(const ConfigurationView& configuration);
 
-  /** As of the last comparison. */
+  /** @return the fraction as of the last comparison. */
   double flowFractionOf(BackendId backend) const override;
 
-  /** Forgets the times of one back end. */
+  /** Removes the samples of one backend. */
   void remove(BackendId backend);
 
-  /** Forgets back ends that are not known any more. */
+  /** Removes backends that are not in the configuration. */
   void retain(const ConfigurationView& configuration);
 
  private:
@@ -65,7 +70,7 @@
     std::uint32_t samples = 0;
     MonotonicTime sampled_at;
   };
-  /** A back end whose time is known. */
+  /** Smoothed response time of a backend. */
   struct TimeEstimate {
     BackendId backend;
     double smoothed_ms = 0;
@@ -77,7 +82,7 @@
   const ResponseTimeSettings settings_;
   const TimeSource& time_source_;
   std::unordered_map<BackendId, Record> records_;
-  /** Shares of the back ends that are slow as of the last comparison; all others have 1. */
+  /** Fractions of the backends found slow by the last comparison; all others have 1. */
   std::unordered_map<BackendId, double> slow_fractions_;
 };
 
--- a/src/flow/retry_budget.h
+++ b/src/flow/retry_budget.h
@@ -6,19 +6,19 @@
 
 namespace lugfork {
 
-/** Tunables of a retry budget. */
+/** Settings of a RetryBudget. */
 struct RetryBudgetSettings {
-  /** Retries that each first try allows for. */
+  /** Retries that each first attempt adds to the budget. */
   double retries_per_attempt = 0.2;
-  /** Retries a second that are allowed for without any first try. */
+  /** Retries per second that are allowed without any first attempt. */
   double min_retries_per_second = 2;
-  /** Most retries that may be saved up. */
+  /** Maximum number of retries that can be accumulated. */
   double capacity = 50;
 };
 
 /**
- * Token bucket that limits retries to a share of first tries plus a small floor, so that retries
- * can't multiply the load of a service that refuses much.
+ * Token bucket that limits retries to a fraction of the first attempts plus a low constant rate, so
+ * that retries cannot multiply the load of a service that rejects many flows.
  */
 class RetryBudget {
  public:
@@ -28,10 +28,13 @@
         tokens_(settings.capacity),
         refilled_at_(time_source.monotonicTime()) {}
 
-  /** Notes a first try. */
+  /** Counts a first attempt. */
   void onFirstAttempt() { add(settings_.retries_per_attempt); }
 
-  /** @return true if a retry may be made now; it is taken from the budget. */
+  /**
+   * Takes a retry from the budget.
+   * @return true if a retry is allowed now.
+   */
   bool tryTake() {
     refill();
     if (tokens_ < 1) {
--- a/src/flow/service_pressure.h
+++ b/src/flow/service_pressure.h
@@ -4,12 +4,14 @@
 
 namespace lugfork {
 
-/** Tells which services have more work now than their servers answer at once. */
+/**
+ * Indicates which services currently have more work than their backends can answer without delay.
+ */
 class ServicePressure {
  public:
   virtual ~ServicePressure() = default;
 
-  /** @return true where the service's servers queue requests or turn them away. */
+  /** @return true if the service's backends queue or reject requests. */
   virtual bool isUnderPressure(ServiceId service) const = 0;
 };
 
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -6,14 +6,16 @@
 
 namespace {
 
-/** Longest time for which a sign of life is remembered: no evidence is older. */
+/** Time for which progress is kept: no evidence is older. */
 constexpr Duration kProgressTtl = seconds(10);
 /**
- * Time for which an answer after repetitions that others report raises how many repetitions prove a
- * server dead: as long as SilenceSettings::slow_memory.
+ * Time for which a reported answer after retransmissions raises the number of retransmissions
+ * needed to declare a backend dead. Same as SilenceDetectorSettings::slow_answer_ttl.
  */
 constexpr Duration kSurvivedRetransmissionsTtl = seconds(60);
-/** A zone answers where a sign of life of it is not older: a node sees several a second. */
+/**
+ * A zone answers if its last progress is not older than this; a balancer observes several a second.
+ */
 constexpr Duration kZoneAnswerWindow = milliseconds(500);
 
 }  // namespace
@@ -45,7 +47,7 @@
     put(*backend);
   }
   for (const BackendId restarted : changes.restarted) {
-    // Attempts that were reported before, and reports on their way, are about the earlier run.
+    // Attempts reported so far, and reports in transit, concern the previous incarnation.
     reported_.erase(restarted);
     reported_progress_[restarted] = time_source_.monotonicTime();
   }
@@ -84,7 +86,7 @@
       reported = ReportedSilence();
       reported.first_reported_at = now;
     }
-    // Digests may come from several balancers; the one with the most reports counts.
+    // Several balancers may send digests; the highest counts apply.
     reported.reporters = std::max<std::size_t>(reported.reporters, summed.reporters);
     reported.flows = std::max<std::size_t>(reported.flows, seen.flows);
     reported.retransmissions = std::max<std::uint16_t>(reported.retransmissions, seen.repetitions);
@@ -312,7 +314,8 @@
   const MonotonicTime now = time_source_.monotonicTime();
   const ReportedSilence& reported = reported_.at(backend);
   const MonotonicTime progress_at = lastProgressOf(backend);
-  // By the flow's own repetitions: one that others answer must not be reset for their losses.
+  // Requires retransmissions on this flow: a flow that is answered must not be reset because of
+  // losses on others.
   const bool is_certain =
       retransmissions >= retransmissionsToDeclareDead() &&
       reported.flows >= settings_.min_silent_flows &&
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -11,30 +11,36 @@
 
 namespace lugfork {
 
-/** Bounds within which a node believes what others have seen. */
+/** Settings of SharedEvidence: limits on what reports of peers may cause. */
 struct SharedEvidenceSettings {
-  /** Time after the last unanswered attempt for which it counts: callers give up after some 2 s. */
+  /** Time after the last unanswered attempt for which it counts; clients give up after some 2 s. */
   Duration attempt_ttl = milliseconds(1500);
-  /** Different balancers that must name a back end: one alone may be cut off or overloaded. */
+  /**
+   * Number of distinct balancers that must report a backend: a single one may be isolated or
+   * overloaded.
+   */
   std::size_t min_reporters = 2;
-  /** Largest share of a service that reports of others take out; above it they are ignored. */
+  /**
+   * Maximum fraction of a service's backends that reports of peers may exclude; above it these
+   * reports are ignored.
+   */
   double max_suspect_fraction = 0.5;
-  /** Flows, over all reporters, that must repeat themselves before a back end is taken for dead. */
+  /** Number of flows with retransmissions, over all reporters, needed to mark a backend dead. */
   std::size_t min_silent_flows = 3;
-  /** Shortest time without a sign of life to anybody before a back end is taken for dead. */
+  /** Minimum time without progress reported by any balancer before a backend is marked dead. */
   Duration min_silence = milliseconds(500);
-  /** Time that others have to object before open flows are reset: two rounds of reports. */
+  /** Delay before open flows are reset, in which peers can object: two reporting intervals. */
   Duration reset_delay = milliseconds(250);
-  /** Silent servers of one zone that make all of it suspect. */
+  /** Number of silent backends that makes their whole zone suspect. */
   std::size_t min_silent_backends_of_zone = 3;
-  /** Shortest time without any sign of life from a zone before all of it is suspect. */
+  /** Minimum time without progress in a zone before the whole zone is suspect. */
   Duration min_zone_silence = milliseconds(300);
-  /** Time for which another balancer's report that a zone answers keeps it from being suspect. */
+  /** Time for which a peer's report that a zone answers keeps the zone from being suspect. */
   Duration objection_ttl = seconds(1);
   FalseSuspicionSettings false_suspicions;
 };
 
-/** What other balancers have reported of a silent back end. */
+/** What peers have reported of a silent backend. */
 struct ReportedSilence {
   std::size_t reporters = 0;
   std::size_t flows = 0;
@@ -43,19 +49,19 @@
   MonotonicTime first_reported_at;
 };
 
-/** Why a back end is taken for dead, for logs. */
+/** Why a backend is considered dead, for logs. */
 struct DeathEvidence {
   bool is_whole_zone = false;
   std::size_t reporters = 0;
   std::size_t flows = 0;
-  /** Time without a sign of life to anybody of the zone; zero where none is known. */
+  /** Time without progress reported by any balancer of the zone; zero if none is known. */
   Duration silent_for{};
 };
 
 /**
- * Joins what this node has seen of silent back ends with what the balancers of its zone have seen
- * together. Reports of others count while they are fresh, where several agree, for a bounded share
- * of a service, and until anybody gets an answer.
+ * Combines this balancer's observations of silent backends with those of all balancers of its zone.
+ * Reports of peers count while they are recent, if several peers agree, for a bounded fraction of a
+ * service, and until any balancer receives an answer.
  */
 class SharedEvidence : public BackendSuspicion {
  public:
@@ -63,41 +69,45 @@
                  const TimeSource& time_source, EventLog& log)
       : settings_(settings), local_(local), time_source_(time_source), log_(log) {}
 
-  /** Takes over what has changed in the configuration in force. */
+  /** Applies the changes of the configuration in force. */
   void onConfigurationChanged(const ConfigurationChanges& changes,
                               const ConfigurationView& configuration);
 
-  /** Takes what a balancer of the own zone has summed. */
+  /** Applies a digest sent by a balancer of the local zone. */
   void onDigest(const EvidenceDigest& digest);
 
-  /** Weighs the evidence anew; to be called after each digest and several times a second. */
+  /** Reevaluates the evidence. To be called after each digest and several times a second. */
   void refresh();
 
-  /** This node itself was late: what others told counts only once they had time to object. */
+  /**
+   * Records that this balancer itself was late: reports count only after peers had time to object.
+   */
   void onBehind() { behind_at_ = time_source_.monotonicTime(); }
 
   bool isSuspect(BackendId backend) const override;
   bool isOutOfReach(BackendId backend) const override;
 
   /**
-   * @param repetitions of the flow at hand, which must not have been answered itself.
-   * @return why reports of others prove the back end of an open flow dead, or nothing.
+   * @param retransmissions on the flow in question, which must itself be unanswered.
+   * @return the reported evidence that the backend of an open flow is dead, or nothing.
    */
   std::optional<DeathEvidence> deathEvidence(BackendId backend,
                                              std::uint16_t retransmissions) const;
 
-  /** @return the back ends that others report as silent. */
+  /** @return the backends that peers report as silent. */
   const std::unordered_map<BackendId, ReportedSilence>& reportedSilence() const {
     return reported_;
   }
 
-  /** @return the zone of a back end that is known, or nothing. */
+  /** @return the zone of a known backend, or nothing. */
   std::optional<ZoneId> zoneOf(BackendId backend) const;
 
-  /** @return zones with so many servers reported silent that the whole zone may be cut off. */
+  /**
+   * @return zones with so many backends reported silent that the whole zone may be out of reach.
+   */
   std::set<ZoneId> suspectZones() const;
 
-  /** @return when a server of the zone last answered, as digests say; unset for never. */
+  /** @return when a backend of the zone last answered according to digests; unset for never. */
   MonotonicTime lastObjectionAt(ZoneId zone) const;
 
   std::size_t suspectsByPeers() const { return suspects_.size(); }
@@ -107,7 +117,7 @@
   struct KnownBackend {
     ZoneId zone;
     ServiceId service;
-    /** It is declared and counts to its service's size. */
+    /** The backend is not retired and counts towards the size of its service. */
     bool counts_for_service = false;
   };
 
@@ -116,16 +126,16 @@
 
   MonotonicTime lastProgressOf(BackendId backend) const;
   bool isCurrent(MonotonicTime last_attempt_at) const;
-  /** @return true where nobody has got an answer since the last unanswered attempt. */
+  /** @return true if no balancer has received an answer since the last unanswered attempt. */
   bool isUnanswered(BackendId backend, const ReportedSilence& reported) const;
-  /** @return true where silence of the service's back ends proves nothing. */
+  /** @return true if silence of the service's backends is no evidence. */
   bool isUnderPressure(ServiceId service) const;
-  /** Takes signs of life that others report. */
+  /** Records progress reported by peers. */
   void recordProgress(BackendId backend, MonotonicTime progress_at);
   void removeExpired();
-  /** Decides which servers are passed over because of reports, and logs those that are new. */
+  /** Determines the backends that are suspect because of reports, and logs new ones. */
   void updateSuspects();
-  /** Decides which zones are out of reach as a whole, and logs a change. */
+  /** Determines the zones that are out of reach as a whole, and logs changes. */
   void updateZonesOutOfReach();
   std::string namesOf(const std::map<ZoneId, MonotonicTime>& zones) const;
   std::optional<DeathEvidence> zoneDeathEvidence(BackendId backend,
@@ -133,7 +143,7 @@
   std::optional<DeathEvidence> backendDeathEvidence(BackendId backend,
                                                     std::uint16_t retransmissions) const;
   std::uint16_t retransmissionsToDeclareDead() const;
-  /** @return true where enough speaks for it that none of the zone's servers can be reached. */
+  /** @return true if there is enough evidence that none of the zone's backends can be reached. */
   bool isZoneSilent(ZoneId zone) const;
   MonotonicTime lastProgressIn(ZoneId zone) const;
   bool otherZoneAnswers(ZoneId zone) const;
@@ -146,23 +156,23 @@
   std::unordered_map<ServiceId, std::size_t> service_sizes_;
   std::unordered_map<ZoneId, std::string> zone_names_;
   std::unordered_map<BackendId, ReportedSilence> reported_;
-  /** Last signs of life that others reported. */
+  /** Last progress reported by peers. */
   std::unordered_map<BackendId, MonotonicTime> reported_progress_;
   std::unordered_map<ZoneId, MonotonicTime> objections_;
-  /** Back ends that several had reported and that then answered somebody. */
+  /** Backends that several balancers had reported and that then answered one. */
   FalseSuspicions false_suspicions_{settings_.false_suspicions, time_source_};
   MonotonicTime behind_at_;
   std::uint16_t reported_survived_retransmissions_ = 0;
   MonotonicTime reported_survived_at_;
   std::set<BackendId> suspects_;
-  /** Zones that can't be reached, and since when that is believed. */
+  /** Zones that are out of reach, and since when they are considered so. */
   std::map<ZoneId, MonotonicTime> zones_out_of_reach_;
 };
 
-/** @return the age as messages carry it; of a time that is unset, that it never was. */
+/** @return the age as encoded in messages; kNeverMilliseconds for an unset time. */
 std::uint16_t toWireAge(MonotonicTime now, MonotonicTime time);
 
-/** @return the time that an age in a message stands for; unset where it never was. */
+/** @return the time that an age in a message denotes; unset for kNeverMilliseconds. */
 MonotonicTime fromWireAge(MonotonicTime now, std::uint16_t age_ms);
 
 }  // namespace lugfork
--- a/src/flow/silence_detector.cc
+++ b/src/flow/silence_detector.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-/** Silent flows that are told apart for one back end; more make no difference. */
+/** Silent flows tracked for each backend; more make no difference. */
 constexpr std::size_t kMaxSilentFlows = 8;
-/** Back ends in use are counted again after this long: a service may have thousands. */
+/** Interval at which the backends in use are recounted; a service may have thousands. */
 constexpr Duration kInUseRecountInterval = milliseconds(500);
-/** More doublings than these reach any bound. */
+/** More doublings exceed any configured bound. */
 constexpr std::size_t kMaxDoublings = 10;
 
 }  // namespace
--- a/src/flow/silence_detector.h
+++ b/src/flow/silence_detector.h
@@ -13,171 +13,185 @@
 
 namespace lugfork {
 
-/** Tunables of a SilenceDetector. */
+/** Settings of a SilenceDetector. */
 struct SilenceDetectorSettings {
-  /** An opening without the caller's next packet for this long counts as unanswered. */
+  /**
+   * An opening counts as unanswered if the client's next packet does not follow within this time.
+   */
   Duration handshake_timeout = milliseconds(100);
-  /** A suspected back end gets a new flow again after this long, to see whether it answers. */
+  /** Time after which a suspect backend gets a new flow again, as a probe. */
   Duration suspicion_ttl = seconds(2);
-  /** Flows of which at least one repeats itself twice before a back end is taken for dead. */
+  /**
+   * Number of unanswered flows, at least one of them with min_retransmissions, that are needed to
+   * mark a backend dead.
+   */
   std::size_t min_silent_flows = 3;
-  /** Repetitions of a flow (after 0.2 s, 0.6 s, ...) that show more than a slow answer. */
+  /** Retransmissions on one flow (after 0.2 s, 0.6 s, ...) that rule out a merely slow answer. */
   std::uint16_t min_retransmissions = 2;
-  /** Time for which a repetition counts. */
+  /** Age up to which a retransmission counts. */
   Duration retransmission_window = seconds(2);
-  /** Time for which an answer after repetitions raises how many prove a back end dead. */
+  /**
+   * Time for which an answer after retransmissions raises the number of retransmissions required.
+   */
   Duration slow_answer_ttl = seconds(60);
-  /** Shortest time without any sign of life after which a back end is taken for dead. */
+  /** Minimum time without progress on any flow before a backend is marked dead. */
   Duration min_silence = milliseconds(500);
   /**
-   * Largest share of the back ends in use lately that may look silent, be it by one flow; above it
-   * the fault is this node's own (its links, or packets that waited), and none is taken for dead.
+   * Maximum fraction of the recently used backends that may have retransmissions, even on a single
+   * flow. Above it the fault is assumed to be local (this balancer's links, or delayed packets),
+   * and no backend is marked dead.
    */
   double max_silent_fraction = 0.34;
   /**
-   * Other back ends of its service that must have answered lately before one is taken for dead:
-   * without them nothing tells a dead server from callers or a path that are at fault.
+   * Number of other backends of the service that must have answered recently before one is marked
+   * dead: without them a dead backend cannot be told from a fault of the clients or of the path.
    */
   std::size_t min_answering_backends = 2;
-  /** Unanswered attempts that make a back end suspect where its service is under pressure. */
+  /** Unanswered attempts that make a backend suspect while its service is under pressure. */
   std::size_t min_attempts_under_pressure = 2;
   FalseSuspicionSettings false_suspicions;
-  /** A silence that ends after so long was a failure: a queue's wait or a lost packet is shorter.
+  /**
+   * A silence of at least this duration that then ends counts as a failure; waiting in a queue and
+   * a lost packet cause shorter ones.
    */
   Duration min_failure_duration = milliseconds(300);
-  /** Failures further back than this don't add up: a server that fell so seldom is trusted. */
+  /** Failures further apart than this do not add up to flapping. */
   Duration flapping_window = seconds(60);
-  /** From this failure on a back end gets no new flow for a time after it answers again. */
+  /** Number of failures from which a recovered backend is excluded for a delay. */
   std::size_t min_flapping_failures = 2;
-  /** That time at first, doubled with each further one: what callers of a new flow wait at most. */
+  /**
+   * First such delay, doubled with each further failure; the client of a new flow waits at most
+   * this long.
+   */
   Duration readmission_delay = milliseconds(1400);
-  /** Longest such time: a server that is well again is missed for no longer. */
+  /** Upper bound of the delay, so that a recovered backend does not stay unused for longer. */
   Duration max_readmission_delay = seconds(12);
 };
 
-/** What a node itself has seen of a back end that does not answer it. */
+/** What this balancer has observed of a backend that does not answer it. */
 struct SilenceObservation {
   BackendId backend;
-  /** Flows that went unanswered since the last sign of life. */
+  /** Number of unanswered flows since the last progress. */
   std::size_t flows = 0;
-  /** Most repetitions of one of them. */
+  /** Maximum number of retransmissions on one of them. */
   std::uint16_t retransmissions = 0;
-  /** Last unanswered attempt. */
+  /** Time of the last unanswered attempt. */
   MonotonicTime last_attempt_at;
-  /** Last sign of life; unset for none. */
+  /** Time of the last progress; unset if there was none. */
   MonotonicTime last_progress_at;
 };
 
 /**
- * Learns which back ends have fallen silent from what their callers send, long before the platform
- * reports it. Suspected back ends get no new flows; for dead ones open flows are reset, so that
- * callers can try elsewhere. Any sign of life ends both, but for back ends that fail by turns: they
- * get no new flow for some time after it.
+ * Detects unresponsive backends from the packets that their clients send, well before the store
+ * reports them. Suspect backends are excluded from placement; open flows of dead backends are
+ * reset, so that clients can retry on others. Progress on any flow ends both states, except that a
+ * flapping backend stays excluded for a readmission delay.
  */
 class SilenceDetector : public BackendSuspicion {
  public:
-  /** @return the service of a back end, for which pressure is judged. */
+  /** @return the service of a backend; pressure is evaluated per service. */
   using ServiceLookup = std::function<ServiceId(BackendId)>;
 
   SilenceDetector(SilenceDetectorSettings settings, const TimeSource& time_source, EventLog& log)
       : settings_(settings), time_source_(time_source), log_(log) {}
 
-  /** An opening went to the back end. */
+  /** Records that a first packet was forwarded to the backend. */
   void onOpening(BackendId backend);
 
-  /** The back end answered the copy of an opening with nothing. */
+  /** Records that a client retransmitted a first packet that the backend has not answered. */
   void onOpeningRetransmitted(BackendId backend, const FlowId& flow);
 
   /**
-   * A caller has received something new from the back end.
-   * @param repetitions how often the caller had repeated itself before: since a living back end
-   * answered after so many, only more of them prove one dead.
+   * Records that a client has received new data from the backend.
+   * @param retransmissions how often the client had retransmitted before. A live backend has
+   * answered after so many, so marking a backend dead then takes more.
    */
   void onProgress(BackendId backend, std::uint16_t retransmissions = 0);
 
-  /** A caller repeats what it sent on an open flow, for the n-th time. */
+  /** Records the n-th retransmission of a client's data on an open flow. */
   void onRetransmission(BackendId backend, const FlowId& flow, std::uint16_t retransmissions);
 
   bool isSuspect(BackendId backend) const override;
   bool isDead(BackendId backend) const;
 
-  /** @return time since the last sign of life; since the first packet where there was none. */
+  /** @return time since the last progress, or since the first packet if there was none. */
   Duration silentFor(BackendId backend) const;
 
-  /** Sets what tells services; without it all back ends count as of one. */
+  /** Sets the lookup of services; without it all backends count as one service. */
   void setServiceLookup(ServiceLookup service_lookup) {
     service_lookup_ = std::move(service_lookup);
   }
 
-  /** Sets what else tells of pressure; nullptr for nothing. */
+  /** Sets an additional source of pressure information; nullptr for none. */
   void setPressure(const ServicePressure* pressure) { pressure_ = pressure; }
 
   /**
-   * @return true where silence proves nothing: the service's back ends are late. By what is
-   * injected or by back ends that looked silent and answered.
+   * @return true if silence is no evidence because the backends of the service answer late,
+   * according to the injected source or to the number of false suspicions.
    */
   bool isUnderPressure(ServiceId service) const;
 
   /**
-   * This node itself was late: packets waited, so that what they showed was old. Nothing that was
-   * seen up to now counts as silence any more. Cheap: may be called for each late packet.
+   * Records that this balancer itself was late: packets had waited, so what they showed was
+   * outdated. Observations up to now no longer count as silence. Cheap enough to be called for each
+   * late packet.
    */
   void onBehind() { behind_at_ = time_source_.monotonicTime(); }
 
-  /** @return true where many back ends look silent to this node at once. */
+  /** @return true if too many backends look silent to this balancer at once. */
   bool isSilenceWidespread() const;
 
-  /** Forgets what was seen of one back end. */
+  /** Removes the state of one backend. */
   void remove(BackendId backend) { records_.erase(backend); }
 
-  /** Forgets back ends that are not known any more. */
+  /** Removes backends that are not in the configuration. */
   void retain(const ConfigurationView& configuration);
 
-  /** @return what was seen of the back ends that look silent now. */
+  /** @return observations of the backends that look silent now. */
   std::vector<SilenceObservation> observations() const;
 
-  /** @return the last sign of life of the back end; unset for none. */
+  /** @return time of the backend's last progress; unset if there was none. */
   MonotonicTime lastProgressAt(BackendId backend) const;
 
-  /** @return the back ends that were used within the time. */
+  /** @return the backends used within the given time up to now. */
   std::vector<BackendId> usedWithin(Duration time) const;
 
-  /** @return most repetitions after which a back end still answered lately. */
+  /** @return the maximum number of retransmissions after which a backend has recently answered. */
   std::uint16_t survivedRetransmissions() const;
 
-  /** @return repetitions of a flow that show more than a slow answer. */
+  /** @return the number of retransmissions on one flow that rules out a slow answer. */
   std::uint16_t retransmissionsToDeclareDead() const;
 
  private:
-  /** A flow that repeated itself since the last sign of life. */
+  /** A flow with retransmissions since the backend's last progress. */
   struct SilentFlow {
     FlowId flow;
     MonotonicTime retransmitted_at;
     std::uint16_t retransmissions = 0;
   };
 
-  /** How often a back end has failed; outlives signs of life. */
+  /** Failures of a backend; kept across progress. */
   struct Failures {
     std::size_t count = 0;
     MonotonicTime last_at;
-    /** No new flow before then. */
+    /** The backend gets no new flow before this time. */
     MonotonicTime excluded_until;
   };
 
   struct Record {
     ServiceId service;
     Failures failures;
-    /** Last sign of life; the first packet where there was none. */
+    /** Last progress, or the first packet if there was none. */
     MonotonicTime progress_at;
     bool has_progressed = false;
-    /** First opening since the last sign of life; unset for none. */
+    /** First opening since the last progress; unset for none. */
     MonotonicTime opening_at;
-    /** Last repetition since the last sign of life; unset for none. */
+    /** Last retransmission since the last progress; unset for none. */
     MonotonicTime retransmitted_at;
-    /** First unanswered attempt since the last sign of life; unset for none. */
+    /** First unanswered attempt since the last progress; unset for none. */
     MonotonicTime first_attempt_at;
     std::vector<SilentFlow> silent_flows;
-    /** What was logged since the last sign of life. */
+    /** Transitions logged since the last progress. */
     bool suspicion_logged = false;
     bool death_logged = false;
   };
@@ -187,22 +201,22 @@
   void recordSilentFlow(BackendId backend, const FlowId& flow, std::uint16_t retransmissions);
   bool looksDead(const Record& record) const;
   bool isDead(const Record& record) const;
-  /** @return true where enough of the service's other back ends answer. */
+  /** @return true if enough other backends of the service answer. */
   bool enoughOthersAnswer(const Record& record) const;
-  /** @return the time from which silence of the back end counts. */
+  /** @return the time from which the backend's silence counts. */
   MonotonicTime silentSince(const Record& record) const {
     return std::max(record.progress_at, behind_at_);
   }
   bool isCurrent(const SilentFlow& silent) const;
   std::size_t currentSilentFlows(const Record& record) const;
-  /** @return true where the silence is more than a queue's, for services under pressure. */
+  /** @return true if the silence is too long for a queue; the criterion under pressure. */
   bool isSilentForLong(const Record& record) const;
-  /** Notes an attempt that is not answered yet. */
+  /** Records an attempt that is not answered yet. */
   void recordAttempt(Record& record) const;
   void recordFalseSuspicion(BackendId backend, ServiceId service);
   /** Counts a failure that has just ended. */
   void recordFailure(Failures& failures) const;
-  /** Logs a change of what is believed of the back end, once until its next sign of life. */
+  /** Logs the transition to suspect or dead, once until the next progress. */
   void logTransition(BackendId backend, Record& record, std::string_view cause);
   bool hasUnansweredOpening(const Record& record) const;
   bool isSilent(const Record& record) const;
@@ -214,15 +228,17 @@
   const ServicePressure* pressure_ = nullptr;
   std::unordered_map<BackendId, Record> records_;
   FalseSuspicions false_suspicions_{settings_.false_suspicions, time_source_};
-  /** Back ends in use of services with false suspicions, and when they were counted. */
+  /** Number of backends in use of a service with false suspicions, and when it was counted. */
   struct InUse {
     std::size_t backends = 0;
     MonotonicTime counted_at;
   };
   std::unordered_map<ServiceId, InUse> in_use_;
-  /** What was seen up to then is too old to count. */
+  /** Observations up to this time are outdated and do not count. */
   MonotonicTime behind_at_;
-  /** Most repetitions after which a back end still answered, and when that was last seen. */
+  /**
+   * Maximum number of retransmissions after which a backend answered, and when that was observed.
+   */
   std::uint16_t survived_retransmissions_ = 0;
   MonotonicTime survived_at_;
 };
--- a/tests/flow/cold_backend_limit_test.cc
+++ b/tests/flow/cold_backend_limit_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kFlowsPerSecond = 10;
-/** With the default settings: 10 x 1.5 + 5. */
+/** Bound with the default settings: 10 x 1.5 + 5. */
 constexpr std::size_t kMaxFlowsPerSecond = 20;
 
 Backend coldBackend(const ManualTimeSource& time, std::uint32_t id = 1) {
@@ -33,7 +33,7 @@
   return placed;
 }
 
-TEST_CASE("a warm server, and one without a limit, gets every flow", "[cold_server_limit]") {
+TEST_CASE("warm backend, and cold one without a limit, gets every flow", "[cold_server_limit]") {
   ManualTimeSource time;
   ColdBackendLimit limit({}, time);
   Backend warm = coldBackend(time);
@@ -44,7 +44,7 @@
   CHECK(placeAll(limit, unlimited, 1000) == 1000);
 }
 
-TEST_CASE("a cold server gets a part of its bound from an owner, and nothing from others",
+TEST_CASE("cold backend gets a fraction of its bound from an owner, and nothing from others",
           "[cold_server_limit]") {
   ManualTimeSource time;
   ColdBackendLimit limit({}, time);
@@ -61,7 +61,7 @@
   CHECK(placeAll(limit, cold, 100) == 0);
 }
 
-TEST_CASE("a bound too small to be divided lets nothing pass", "[cold_server_limit]") {
+TEST_CASE("bound too small to be divided admits no flow", "[cold_server_limit]") {
   ManualTimeSource time;
   ColdBackendLimit limit({1.0, 0.0, seconds(0)}, time);
   Backend cold = coldBackend(time);
@@ -69,8 +69,7 @@
   CHECK(placeAll(limit, cold, 100) == 0);
 }
 
-TEST_CASE("owners are few, and the same in every balancer that knows the fleet",
-          "[cold_server_limit]") {
+TEST_CASE("all balancers that know the whole fleet agree on a few owners", "[cold_server_limit]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   const std::uint32_t fleet = GENERATE(as<std::uint32_t>(), 1, 2, 7, 89, 300);
@@ -93,10 +92,11 @@
   }
 }
 
-/** Balancers of which each knows a random part of one of two halves, and which restart at random.
+/**
+ * Each balancer knows the peers in its half of a partitioned fleet; balancers restart at random.
  */
-TEST_CASE("the sum of all balancers stays under the bound in any second", "[cold_server_limit]") {
-  rc::prop("two halves of a fleet, restarts, uneven load", [] {
+TEST_CASE("sum over all balancers stays within the bound in any second", "[cold_server_limit]") {
+  rc::prop("partitioned fleet, restarts, uneven load", [] {
     ManualTimeSource time;
     const auto random = makeSeededRandom(*rc::gen::inRange(1, 1000000));
     const auto fleet = *rc::gen::inRange<std::uint32_t>(1, 24);
--- a/tests/flow/evidence_fixture.h
+++ b/tests/flow/evidence_fixture.h
@@ -8,7 +8,7 @@
 inline const ZoneId kMegrine{3};
 inline constexpr std::uint32_t kBackendsPerZone = 10;
 
-/** Thirty servers of one service in three zones: 1 to 10, 11 to 20 and 21 to 30. */
+/** Thirty backends of one service in three zones: 1 to 10, 11 to 20 and 21 to 30. */
 inline Configuration threeZones() {
   Configuration configuration;
   configuration.zones = {{kLac, "lac", ""}, {kAriana, "ariana", ""}, {kMegrine, "megrine", ""}};
@@ -21,7 +21,7 @@
   return configuration;
 }
 
-/** What a node in zone lac has seen itself, and what it makes of others' word. */
+/** The evidence of a balancer in zone lac: its own observations and the reports of its peers. */
 struct EvidenceNode {
   explicit EvidenceNode(ManualTimeSource& clock, const std::string& zone = "lac")
       : time(clock), reporter(EvidenceReporterSettings(), zone, local, shared, clock) {
@@ -35,7 +35,7 @@
     reporter.setConfiguration(view);
   }
 
-  /** A digest of the node's zone names the servers. */
+  /** Delivers a digest of the local zone that reports the backends as silent. */
   void reportSilent(const std::vector<std::uint32_t>& backends, std::uint8_t reporters,
                     std::uint8_t flows = 1, std::uint8_t retransmissions = 0,
                     std::uint16_t attempt_age_ms = 100) {
@@ -48,11 +48,12 @@
     shared.onDigest(digest);
   }
 
+  /** Delivers a digest that reports an answer of the backend. */
   void reportProgress(std::uint32_t backend, std::uint16_t age_ms) {
     shared.onDigest({"lac", 0, {}, {{BackendId(backend), age_ms}}});
   }
 
-  /** A flow of this node's gets no answer from the server. */
+  /** Records a retransmission, on a flow of this balancer, that the backend does not answer. */
   void recordUnanswered(std::uint32_t backend, std::uint16_t port = 1,
                         std::uint16_t retransmissions = 0) {
     local.onRetransmission(BackendId(backend), flowIdOf({kCaller.address, port}, kListen),
--- a/tests/flow/evidence_reporter_test.cc
+++ b/tests/flow/evidence_reporter_test.cc
@@ -12,7 +12,7 @@
   EvidenceNode node{time};
 };
 
-TEST_CASE("a node to which all servers answer reports nothing for an hour", "[evidence_reporter]") {
+TEST_CASE("balancer that gets all answers sends no report for an hour", "[evidence_reporter]") {
   Harness harness;
   std::size_t reports = 0;
   for (int second = 0; second < 3600; ++second) {
@@ -29,7 +29,7 @@
   CHECK(reports == 0);
 }
 
-TEST_CASE("a silent server is reported once, and again when more is known of it",
+TEST_CASE("silent backend is reported once, and again when its observation changes",
           "[evidence_reporter]") {
   Harness harness;
   harness.node.recordAnswer(5);
@@ -52,7 +52,7 @@
   CHECK(harness.node.reporter.next());
 }
 
-TEST_CASE("an unanswered opening is reported", "[evidence_reporter]") {
+TEST_CASE("unanswered opening is reported", "[evidence_reporter]") {
   Harness harness;
   harness.node.local.onOpening(BackendId(5));
   harness.time.elapsed += milliseconds(100);
@@ -64,13 +64,13 @@
         std::vector<ServerSilence>{{BackendId(5), 0, 0, 150, kNeverMilliseconds}});
 }
 
-TEST_CASE("a server that answers again is reported", "[evidence_reporter]") {
+TEST_CASE("backend that answers again is reported", "[evidence_reporter]") {
   Harness harness;
-  SECTION("that this node reported") {
+  SECTION("reported by this balancer before") {
     harness.node.recordUnanswered(5);
     CHECK(harness.node.reporter.next());
   }
-  SECTION("that others reported") {
+  SECTION("reported by peers before") {
     harness.node.reportSilent({5}, 1);
   }
   harness.time.elapsed += milliseconds(100);
@@ -84,7 +84,7 @@
   CHECK_FALSE(harness.node.reporter.next());
 }
 
-TEST_CASE("a node that a doubted zone answers objects, twice a second at most, all together",
+TEST_CASE("balancers object to a zone being suspect at most twice a second in total",
           "[evidence_reporter]") {
   Harness harness;
   harness.node.reportSilent({11, 12, 13}, 1);
@@ -97,21 +97,21 @@
   harness.node.recordAnswer(19);
   CHECK_FALSE(harness.node.reporter.next());
   harness.time.elapsed += milliseconds(450);
-  SECTION("again after a while") {
+  SECTION("again after the minimum interval") {
     harness.node.recordAnswer(20);
     CHECK(harness.node.reporter.next());
   }
-  SECTION("not where another has just objected") {
+  SECTION("not if a peer has just objected") {
     harness.node.reportProgress(18, 100);
     harness.node.recordAnswer(20);
     CHECK_FALSE(harness.node.reporter.next());
   }
-  SECTION("not where nothing answered lately") {
+  SECTION("not without a recent answer") {
     CHECK_FALSE(harness.node.reporter.next());
   }
 }
 
-TEST_CASE("a report counts the silent servers of the node's own zone", "[evidence_reporter]") {
+TEST_CASE("report counts the silent backends of the local zone", "[evidence_reporter]") {
   Harness harness;
   for (const std::uint32_t backend : {1U, 2U, 11U, 12U}) {
     harness.node.recordAnswer(backend);
--- a/tests/flow/outlier_detector_test.cc
+++ b/tests/flow/outlier_detector_test.cc
@@ -15,7 +15,7 @@
     }
   }
 
-  /** @return how long the back end stays ejected from now on. */
+  /** @return how long the backend stays ejected from now on. */
   Duration ejectionDuration(std::uint32_t id) {
     const Duration start = time.elapsed;
     while (detector.isEjected(BackendId(id))) {
@@ -30,7 +30,7 @@
   std::uint64_t attempts = 0;
 };
 
-TEST_CASE("an ejection follows from failures in a row, and grows with each one") {
+TEST_CASE("consecutive failures eject a backend, for longer each time") {
   Harness harness;
   harness.fail(1, 4);
   CHECK_FALSE(harness.detector.isEjected(BackendId(1)));
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("copies of one attempt and failures long ago do not add up") {
+TEST_CASE("retransmissions of one attempt and old failures do not add up") {
   Harness harness;
   const Backend backend = makeBackend(1, ServiceId(1), kLac);
   for (int copy = 0; copy < 50; ++copy) {
@@ -60,7 +60,7 @@
   CHECK_FALSE(harness.detector.isEjected(BackendId(2)));
 }
 
-TEST_CASE("no more than the set share of a service is ejected at a time") {
+TEST_CASE("ejected fraction of a service is bounded") {
   Harness harness;
   for (std::uint32_t id = 1; id <= 10; ++id) {
     harness.fail(id, 20);
@@ -72,7 +72,8 @@
   CHECK(ejected == 3);
 }
 
-TEST_CASE("a retry budget allows a share of first tries, a floor, and no more than its capacity") {
+TEST_CASE(
+    "retry budget allows a fraction of first attempts, a minimum rate, and at most its capacity") {
   ManualTimeSource time;
   RetryBudget budget({0.2, 2, 5}, time);
   const auto drain = [&] {
--- a/tests/flow/overload_evidence_test.cc
+++ b/tests/flow/overload_evidence_test.cc
@@ -31,7 +31,8 @@
   return replay.run(kRunDuration);
 }
 
-TEST_CASE("no open flow is reset while all servers live and are full", "[overload_evidence]") {
+TEST_CASE("no open flow is reset while all backends are overloaded but alive",
+          "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   const double load = GENERATE(1.3, 2.0);
   const bool shares_evidence = GENERATE(true, false);
@@ -41,7 +42,7 @@
   CHECK(surge(seed, {.shares_evidence = shares_evidence}, load).wrong_resets == 0);
 }
 
-TEST_CASE("no open flow is reset while all servers live and balancers stand still by turns",
+TEST_CASE("no open flow is reset while balancers are suspended intermittently",
           "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   const double load = GENERATE(0.8, 2.0);
@@ -49,8 +50,7 @@
   CHECK(stalls(seed, {.shares_evidence = shares_evidence}, load).wrong_resets == 0);
 }
 
-TEST_CASE("open flows of a server that dies at a usual load are reset still",
-          "[overload_evidence]") {
+TEST_CASE("open flows of a backend that fails under normal load are reset", "[overload_evidence]") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   const bool shares_evidence = GENERATE(true, false);
   const auto result = backendFailure(seed, {.shares_evidence = shares_evidence});
@@ -58,7 +58,7 @@
   CHECK(result.correct_resets > 0);
 }
 
-TEST_CASE("figures of the ways against taking full servers for dead", "[.figures]") {
+TEST_CASE("resets for each combination of safeguards", "[.figures]") {
   constexpr std::uint64_t kSeeds = 20;
   for (int bits = 0; bits < 8; ++bits) {
     const Safeguards safeguards{(bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0};
@@ -80,7 +80,8 @@
       wrong_resets += dead.wrong_resets;
     }
     std::printf(
-        "asks others %d, gate %d, behind %d: full %d, rush %d, stalls %d, one dead %d (freed %d)\n",
+        "shared evidence %d, suspicion limit %d, delay detection %d: wrong resets overload %d, "
+        "surge %d, stalls %d, failure %d (correct %d)\n",
         safeguards.shares_evidence, safeguards.limits_false_suspicions, safeguards.detects_delay,
         full, surge_resets, stalled, wrong_resets, correct_resets);
   }
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -9,17 +9,19 @@
 #include "flow/evidence_fixture.h"
 #include "flow/packet_router.h"
 
-/** Callers that keep flows open, balancers of one zone that tell each other, servers with queues.
+/**
+ * Clients with persistent flows, balancers of one zone that exchange evidence, backends with
+ * queues.
  */
 namespace lugfork {
 
-/** What keeps a balancer from taking a full server for a dead one. */
+/** Mechanisms that keep a balancer from treating an overloaded backend as dead. */
 struct Safeguards {
-  /** Open flows are reset only by what several balancers have seen. */
+  /** Open flows are reset only on evidence of several balancers. */
   bool shares_evidence = true;
-  /** Nothing is reset while many servers look silent and then answer. */
+  /** No flow is reset while many backends look silent and then answer. */
   bool limits_false_suspicions = true;
-  /** A balancer that stood still is told so. */
+  /** A balancer that was suspended discards the evidence from before. */
   bool detects_delay = true;
 };
 
@@ -31,7 +33,7 @@
   return settings;
 }
 
-/** A balancer's data path; what it sends goes to the callbacks. */
+/** Data path of a balancer; callbacks receive the packets that it sends. */
 struct ReplayNode : PacketSender, PacketRouterHost {
   using Forward = std::function<void(BackendId, CompactToken)>;
   using Reset = std::function<void(const FlowPacket&)>;
@@ -117,31 +119,31 @@
   static constexpr std::size_t kQueueLength = 8;
   static constexpr Duration kServiceTime = milliseconds(50);
   static constexpr Duration kThinkTime = milliseconds(300);
-  /** Nearly all flows go through another balancer after this long. */
+  /** After this period nearly all flows go through another balancer. */
   static constexpr Duration kRoutingPeriod = seconds(3);
-  /** When callers beyond the usual begin. */
+  /** When the clients beyond the initial load start. */
   static constexpr Duration kSurgeAt = seconds(4);
   static constexpr Duration kStallDuration = milliseconds(700);
-  /** Callers give an opening up after this long, and a request of an open flow. */
+  /** Clients abandon an opening, and a request of an open flow, after these times. */
   static constexpr Duration kOpeningTimeout = milliseconds(1400);
   static constexpr Duration kRequestTimeout = seconds(3);
 
   struct Result {
     int answered = 0;
-    /** Resets of open flows whose server lives. */
+    /** Resets of open flows whose backend is alive. */
     int wrong_resets = 0;
-    /** Resets of open flows of the dead server. */
+    /** Resets of open flows of the failed backend. */
     int correct_resets = 0;
-    /** Openings at the dead server after it died. */
+    /** Openings forwarded to the failed backend after its failure. */
     int lost_openings = 0;
   };
 
-  /** Three balancers stand still for 0.7 s of each 2 s; their packets wait. */
+  /** Suspends three balancers for 0.7 s of every 2 s; their packets are delayed. */
   void enableStalls() { stalled_nodes_ = 3; }
 
   /**
-   * @param load requests offered, as a multiple of what the servers' slots do.
-   * @param usual of them, what is offered from the start; the rest begins together, later.
+   * @param load requests offered, as a ratio to the capacity of the backends' slots.
+   * @param initial_load the part of it that is offered from the start; the rest starts at kSurgeAt.
    */
   OverloadReplay(std::uint64_t seed, const Safeguards& safeguards, double load,
                  double initial_load = 100)
@@ -191,9 +193,9 @@
     bool open = false;
     std::uint32_t sequence = 0;
     std::uint32_t acknowledged = 0;
-    /** Number of what the caller waits for; timers of earlier ones do nothing. */
+    /** Number of the current opening or request; timers of earlier ones are ignored. */
     int attempt = 0;
-    /** What the server has taken. */
+    /** Last attempt that the backend accepted. */
     int accepted_attempt = 0;
   };
 
@@ -238,7 +240,7 @@
     });
   }
 
-  /** @return time until the node goes on. */
+  /** @return time until the node resumes. */
   Duration delayAt(std::size_t node) const {
     const Duration phase = (time_.elapsed + node * milliseconds(300)) % seconds(2);
     const bool is_stalled = node < stalled_nodes_ && phase < kStallDuration;
@@ -252,7 +254,7 @@
     nodes_[node]->router.onPacket(packet);
   }
 
-  /** Sends now, then after 0.2, 0.6 and 1.4 s until it is answered or given up. */
+  /** Transmits now and after 0.2, 0.6 and 1.4 s until the attempt is answered or abandoned. */
   void attempt(Flow& flow, Duration timeout,
                const std::function<void(std::uint32_t retransmission)>& transmit) {
     const int attempt = ++flow.attempt;
@@ -326,7 +328,7 @@
       result_.lost_openings += flow.open ? 0 : 1;
       return;
     }
-    // A full server says nothing; an opening takes no slot.
+    // An overloaded backend does not answer; an opening takes no slot.
     if (!expects_answer_ || state.request_count >= kSlots + kQueueLength) {
       return;
     }
@@ -374,7 +376,7 @@
     });
   }
 
-  /** The first node sums for its zone; others report every 100 ms. */
+  /** The first node sums the reports of its zone; the others report every 100 ms. */
   void exchangeEvidence() {
     for (std::uint16_t index = 0; index < kNodes; ++index) {
       if (const auto report = nodes_[index]->reporter.next()) {
@@ -405,9 +407,9 @@
   std::size_t stalled_nodes_ = 0;
   std::array<MonotonicTime, kNodes> resumed_at_{};
   Flow* current_flow_ = nullptr;
-  /** Of the packet at hand; its flow may have been given up meanwhile. */
+  /** Client of the current packet; its flow may have been abandoned meanwhile. */
   Endpoint current_client_;
-  /** The packet at hand wants an answer. */
+  /** The current packet requires an answer. */
   bool expects_answer_ = false;
   std::uint16_t last_port_ = 0;
   BackendId dead_;
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -19,7 +19,7 @@
   return packet;
 }
 
-/** What a caller sends on a flow, as an observer sees it. */
+/** Packets of clients as a FlowObserver sees them. */
 struct Harness {
   void open(std::uint16_t port, BackendId backend) {
     FlowPacket packet = packetOf(port);
@@ -40,7 +40,7 @@
   FlowObserver observer{FlowObserverSettings{65536}, time};
 };
 
-TEST_CASE("a request counts from the opening until its answer", "[requests_in_flight]") {
+TEST_CASE("request counts from the opening until its answer", "[requests_in_flight]") {
   Harness harness;
   harness.open(5000, kFirst);
   CHECK(harness.count(kFirst) == 1);
@@ -54,7 +54,7 @@
   CHECK(harness.count(kSecond) == 0);
 }
 
-TEST_CASE("copies and resent data count once", "[requests_in_flight]") {
+TEST_CASE("retransmitted openings and data count once", "[requests_in_flight]") {
   Harness harness;
   harness.open(5000, kFirst);
   harness.open(5000, kFirst);
@@ -63,7 +63,8 @@
   CHECK(harness.count(kFirst) == 1);
 }
 
-TEST_CASE("a copy of an opening that goes elsewhere counts there only", "[requests_in_flight]") {
+TEST_CASE("retransmitted opening counts only at the backend that it is placed on",
+          "[requests_in_flight]") {
   Harness harness;
   harness.open(5000, kFirst);
   harness.open(5000, kSecond);
@@ -71,7 +72,7 @@
   CHECK(harness.count(kSecond) == 1);
 }
 
-TEST_CASE("a flow that comes from another node counts from its next request",
+TEST_CASE("flow that moves from another balancer counts from its next request",
           "[requests_in_flight]") {
   Harness harness;
   harness.send(5000, kFirst, 900, 0);
@@ -80,14 +81,14 @@
   CHECK(harness.count(kFirst) == 1);
 }
 
-TEST_CASE("a flow that ends no longer counts", "[requests_in_flight]") {
+TEST_CASE("removed flow no longer counts", "[requests_in_flight]") {
   Harness harness;
   harness.open(5000, kFirst);
   harness.observer.remove(packetOf(5000).flow());
   CHECK(harness.count(kFirst) == 0);
 }
 
-TEST_CASE("a request whose end is never seen stops counting", "[requests_in_flight]") {
+TEST_CASE("request without an observed end stops counting", "[requests_in_flight]") {
   Harness harness;
   SECTION("an opening without an answer") {
     harness.open(5000, kFirst);
@@ -103,7 +104,7 @@
   CHECK(harness.count(kFirst) == 0);
 }
 
-TEST_CASE("requests at back ends that are gone are forgotten", "[requests_in_flight]") {
+TEST_CASE("requests at removed backends are removed", "[requests_in_flight]") {
   Harness harness;
   harness.open(5000, kFirst);
   harness.open(5001, BackendId{99});
@@ -112,7 +113,7 @@
   CHECK(harness.observer.requestsInFlight().trackedBackends() == 1);
 }
 
-TEST_CASE("the count of a back end is bounded", "[requests_in_flight]") {
+TEST_CASE("count of a backend is bounded", "[requests_in_flight]") {
   Harness harness;
   for (std::uint16_t port = 1; port <= 1000; ++port) {
     harness.open(port, kFirst);
--- a/tests/flow/response_times_test.cc
+++ b/tests/flow/response_times_test.cc
@@ -39,7 +39,8 @@
   ResponseTimes times{{}, time};
 };
 
-TEST_CASE("a slow back end gets a share in proportion, the others all of theirs", "[response]") {
+TEST_CASE("slow backend gets a proportional fraction of flows, others the full amount",
+          "[response]") {
   Harness harness;
   harness.recordAllAnswers(milliseconds(20), 4, milliseconds(80));
   CHECK(harness.flowFraction(4) == Approx(0.25));
@@ -47,7 +48,7 @@
   CHECK(harness.flowFraction(99) == 1);
 }
 
-TEST_CASE("nearly as fast as the others is not slow, and the slowest gets something",
+TEST_CASE("backend below the slow ratio gets the full amount, a very slow one the minimum",
           "[response]") {
   Harness harness;
   harness.recordAllAnswers(milliseconds(20), 4, milliseconds(28));
@@ -56,21 +57,20 @@
   CHECK(harness.flowFraction(4) == Approx(0.1));
 }
 
-TEST_CASE("a back end that recovers gets its flows back, also where it is not heard of",
-          "[response]") {
+TEST_CASE("recovered backend, or one without recent samples, gets the full amount", "[response]") {
   Harness harness;
   harness.recordAllAnswers(milliseconds(20), 4, milliseconds(80));
   SECTION("it answers fast again") {
     harness.recordAllAnswers(milliseconds(20), 4, milliseconds(20));
   }
-  SECTION("nothing is known any more") {
+  SECTION("its samples have expired") {
     harness.time.elapsed += seconds(4);
     harness.times.compare(*harness.view);
   }
   CHECK(harness.flowFraction(4) == 1);
 }
 
-TEST_CASE("too few samples or back ends prove nothing", "[response]") {
+TEST_CASE("too few samples or backends are not compared", "[response]") {
   Harness harness;
   SECTION("two samples") {
     harness.recordAllAnswers(milliseconds(20), 0, Duration::zero());
@@ -79,7 +79,7 @@
       harness.recordAnswers(id, id == 4 ? 2 : 10, id == 4 ? milliseconds(200) : milliseconds(20));
     }
   }
-  SECTION("two back ends") {
+  SECTION("two backends") {
     harness.recordAnswers(3, 10, milliseconds(20));
     harness.recordAnswers(4, 10, milliseconds(200));
   }
@@ -87,7 +87,7 @@
   CHECK(harness.flowFraction(4) == 1);
 }
 
-TEST_CASE("back ends that are gone are forgotten", "[response]") {
+TEST_CASE("removed backends are not tracked", "[response]") {
   Harness harness;
   harness.recordAllAnswers(milliseconds(20), 4, milliseconds(80));
   harness.times.retain(ConfigurationView(Configuration()));
--- a/tests/flow/shared_evidence_test.cc
+++ b/tests/flow/shared_evidence_test.cc
@@ -13,7 +13,7 @@
     node.shared.refresh();
   }
 
-  /** Lets time pass while servers of this node's own zone answer it. */
+  /** Advances the time while a backend of the local zone answers. */
   void advanceWithAnswers(int duration_ms) {
     for (int passed = 0; passed < duration_ms; passed += 50) {
       time.elapsed += milliseconds(50);
@@ -30,14 +30,14 @@
   EvidenceNode node{time};
 };
 
-TEST_CASE("a server that two others found silent is passed over", "[shared_evidence]") {
+TEST_CASE("backend reported silent by two peers is suspect", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5}, 2);
   CHECK(harness.node.isSuspect(5));
   CHECK_FALSE(harness.node.isSuspect(6));
 }
 
-TEST_CASE("one reporter that lies, or is cut off, takes out nothing", "[shared_evidence]") {
+TEST_CASE("reports of a single peer make no backend suspect", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5, 6, 7}, 1, 200, 9);
   CHECK_FALSE(harness.node.isSuspect(5));
@@ -45,7 +45,7 @@
   CHECK_FALSE(harness.isDead(5));
 }
 
-TEST_CASE("others' word never takes out more than half of a service", "[shared_evidence]") {
+TEST_CASE("reports of peers exclude at most half of a service", "[shared_evidence]") {
   Harness harness;
   std::vector<std::uint32_t> backends;
   for (std::uint32_t backend = 1; backend <= 15; ++backend) {
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("evidence ends by itself", "[shared_evidence]") {
+TEST_CASE("reported silence expires", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5}, 3);
   harness.advance(1300);
@@ -69,41 +69,41 @@
   CHECK(harness.node.shared.reportedSilence().empty());
 }
 
-TEST_CASE("a digest that comes late tells nothing", "[shared_evidence]") {
+TEST_CASE("digest with an expired attempt has no effect", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5}, 3, 5, 5, 1600);
   CHECK_FALSE(harness.node.isSuspect(5));
 }
 
-TEST_CASE("an answer to anybody ends older evidence and not newer", "[shared_evidence]") {
+TEST_CASE("answer to any balancer ends older evidence and not newer", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5}, 3, 1, 0, 100);
-  SECTION("told, later than the last attempt") {
+  SECTION("reported, later than the last attempt") {
     harness.node.reportProgress(5, 50);
     CHECK_FALSE(harness.node.isSuspect(5));
-    SECTION("then silent again") {
+    SECTION("then silent again for two reporters") {
       harness.advance(300);
       harness.node.reportSilent({5}, 2);
       CHECK(harness.node.isSuspect(5));
     }
-    SECTION("then silent to one: what was counted before is over") {
+    SECTION("then silent for one reporter: earlier reporters no longer count") {
       harness.advance(300);
       harness.node.reportSilent({5}, 1);
       CHECK_FALSE(harness.node.isSuspect(5));
     }
   }
-  SECTION("told, earlier than the last attempt") {
+  SECTION("reported, earlier than the last attempt") {
     harness.node.reportProgress(5, 150);
     CHECK(harness.node.isSuspect(5));
   }
-  SECTION("to this node itself") {
+  SECTION("received by this balancer") {
     harness.node.recordAnswer(5);
     harness.advance(0);
     CHECK_FALSE(harness.node.isSuspect(5));
   }
 }
 
-TEST_CASE("servers that are not known are passed over", "[shared_evidence]") {
+TEST_CASE("reports of unknown backends are ignored", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({99}, 3);
   harness.node.reportProgress(98, 10);
@@ -111,57 +111,57 @@
   CHECK(harness.node.shared.reportedSilence().empty());
 }
 
-TEST_CASE("a zone none of whose servers answers is out of reach as a whole", "[shared_evidence]") {
+TEST_CASE("zone with no answering backend is out of reach as a whole", "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(12);
   harness.advanceWithAnswers(300);
   harness.node.recordUnanswered(11);
   harness.node.reportSilent({11, 12, 13}, 1);
-  SECTION("while another answers") {
+  SECTION("while another zone answers") {
     CHECK(harness.node.shared.isOutOfReach(BackendId(20)));
     CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(1)));
     CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(30)));
-    SECTION("until it answers this node") {
+    SECTION("until one of its backends answers this balancer") {
       harness.node.recordAnswer(20);
       harness.advance(0);
       CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
     }
-    SECTION("until another objects") {
+    SECTION("until a peer objects") {
       harness.node.reportProgress(20, 700);
       CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
     }
-    SECTION("until it ends by itself") {
+    SECTION("until the reports expire") {
       harness.advanceWithAnswers(1500);
       CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
     }
   }
-  SECTION("but not while none answers: then this node is cut off") {
+  SECTION("not while no zone answers: then this balancer is isolated") {
     harness.advance(550);
     CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
   }
 }
 
-TEST_CASE("a zone is not out of reach by others' word alone, nor by this node's",
-          "[shared_evidence]") {
+TEST_CASE("zone is not out of reach by reports or local observations alone", "[shared_evidence]") {
   Harness harness;
   harness.advanceWithAnswers(300);
-  SECTION("others") {
+  SECTION("reports of peers only") {
     harness.node.reportSilent({11, 12, 13, 14}, 9);
   }
-  SECTION("this node alone, whose own report comes back in a digest") {
+  SECTION("local observations only, returned in a digest") {
     for (const std::uint32_t backend : {11U, 12U, 13U}) {
       harness.node.recordUnanswered(backend);
     }
     harness.node.reportSilent({11, 12, 13}, 1);
   }
-  SECTION("two servers are not enough") {
+  SECTION("two backends are too few") {
     harness.node.recordUnanswered(11);
     harness.node.reportSilent({11, 12}, 5);
   }
   CHECK_FALSE(harness.node.shared.isOutOfReach(BackendId(20)));
 }
 
-TEST_CASE("an open flow's server is dead by several flows of several nodes", "[shared_evidence]") {
+TEST_CASE("silence on several flows of several balancers is evidence of a dead backend",
+          "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(5);
   harness.advance(600);
@@ -169,20 +169,20 @@
   CHECK_FALSE(harness.isDead(5));
   harness.advance(250);
   CHECK(harness.isDead(5));
-  SECTION("but no flow is reset that does not repeat itself") {
+  SECTION("not for a flow without retransmissions") {
     CHECK_FALSE(harness.isDead(5, 0));
   }
-  SECTION("not once it has answered anybody") {
+  SECTION("not once it has answered any balancer") {
     harness.node.reportProgress(5, 100);
     CHECK_FALSE(harness.isDead(5));
   }
-  SECTION("not where living servers answered others after as many repetitions") {
+  SECTION("not if live backends answered peers after as many retransmissions") {
     harness.node.shared.onDigest({"lac", 2, {}, {}});
     CHECK_FALSE(harness.isDead(5));
   }
 }
 
-TEST_CASE("an open flow's server is not dead by too little", "[shared_evidence]") {
+TEST_CASE("insufficient reports are no evidence of a dead backend", "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(5);
   SECTION("silent for less than half a second") {
@@ -195,7 +195,7 @@
     harness.node.reportSilent({5}, 2, 2, 9);
     harness.advance(300);
   }
-  SECTION("flows that repeated themselves once") {
+  SECTION("flows with a single retransmission") {
     harness.advance(600);
     harness.node.reportSilent({5}, 3, 9, 1);
     harness.advance(300);
@@ -210,7 +210,7 @@
   CHECK_FALSE(harness.isDead(5));
 }
 
-TEST_CASE("a flow that has repeated itself once is not reset for the repetitions of others",
+TEST_CASE("flow with a single retransmission is not reset because of other flows",
           "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(5);
@@ -221,7 +221,7 @@
   CHECK(harness.isDead(5, 2));
 }
 
-TEST_CASE("a node that stood still lets others object before it resets a flow",
+TEST_CASE("balancer that was late waits for objections before it resets a flow",
           "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(5);
@@ -236,7 +236,7 @@
   CHECK(harness.isDead(5));
 }
 
-TEST_CASE("where servers that others reported silent answer, none of their service is dead",
+TEST_CASE("many false suspicions reported by peers are no evidence of a dead backend",
           "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(5);
@@ -250,7 +250,7 @@
   harness.node.reportSilent({5}, 2, 3, 2);
   harness.advance(300);
   CHECK(harness.isDead(5) == (answering == 5));
-  SECTION("until that is long past") {
+  SECTION("until the false suspicions expire") {
     harness.advance(4600);
     harness.node.reportSilent({5}, 2, 3, 2);
     harness.advance(300);
@@ -258,7 +258,7 @@
   }
 }
 
-TEST_CASE("a node to which many servers are silent takes none for dead by others' word",
+TEST_CASE("reports are no evidence of a dead backend while many backends look silent locally",
           "[shared_evidence]") {
   Harness harness;
   for (std::uint32_t backend = 1; backend <= 10; ++backend) {
@@ -274,12 +274,12 @@
   CHECK(harness.isDead(5) == (silent == 3));
 }
 
-/** Servers of one service that queue requests. */
+/** Pressure on all services. */
 struct FakePressure : ServicePressure {
   bool isUnderPressure(ServiceId) const override { return true; }
 };
 
-TEST_CASE("under pressure others' word resets no flow, and passes over by lasting silence only",
+TEST_CASE("under pressure reports reset no flow, and only long silence makes a backend suspect",
           "[shared_evidence]") {
   Harness harness;
   const FakePressure pressure;
@@ -296,7 +296,7 @@
   CHECK(harness.isDead(5));
 }
 
-TEST_CASE("under pressure no open flow is reset for a zone out of reach", "[shared_evidence]") {
+TEST_CASE("under pressure no open flow to a zone out of reach is reset", "[shared_evidence]") {
   Harness harness;
   const FakePressure pressure;
   harness.node.local.setPressure(&pressure);
@@ -311,7 +311,7 @@
   CHECK_FALSE(harness.isDead(20));
 }
 
-TEST_CASE("a digest that tells of fewer survived repetitions takes back no others' word",
+TEST_CASE("digest with fewer survived retransmissions does not lower the maximum",
           "[shared_evidence]") {
   Harness harness;
   EvidenceDigest many;
@@ -326,7 +326,7 @@
   CHECK(harness.isDead(5, 5));
 }
 
-TEST_CASE("an opening without an answer makes a server suspect, but counts as no flow that repeats",
+TEST_CASE("unanswered opening is observed but does not count as a silent flow",
           "[shared_evidence]") {
   Harness harness;
   harness.node.local.onOpening(BackendId(5));
@@ -337,7 +337,7 @@
   CHECK(seen.front().flows == 0);
 }
 
-TEST_CASE("open flows to a zone out of reach are reset by their own repetitions",
+TEST_CASE("open flow to a zone out of reach is reset after its own retransmissions",
           "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(11);
--- a/tests/flow/silence_detector_test.cc
+++ b/tests/flow/silence_detector_test.cc
@@ -17,7 +17,7 @@
   ServiceId service_under_pressure;
 };
 
-/** Twenty back ends, the first ten of one service. */
+/** Twenty backends, the first ten of one service. */
 struct Harness {
   Harness() {
     detector.setServiceLookup([this](BackendId backend) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Back ends answer openings after 150 ms: they look silent for 50 ms. */
+  /** Backends answer openings after 150 ms, so that they look silent for 50 ms. */
   void recordLateAnswers(std::uint32_t first, std::uint32_t last) {
     for (std::uint32_t id = first; id <= last; ++id) {
       detector.onOpening(BackendId(id));
@@ -44,7 +44,7 @@
     detector.onRetransmission(backend, flowIdOf({kCaller.address, port}, kListen), retransmissions);
   }
 
-  /** Three flows repeat themselves twice, 200 and 600 ms after the last answer. */
+  /** Three flows retransmit twice, 200 and 600 ms after the last answer. */
   void recordThreeSilentFlows(BackendId backend) {
     for (const std::uint16_t retransmission : {std::uint16_t{1}, std::uint16_t{2}}) {
       time.elapsed += milliseconds(retransmission == 1 ? 200 : 400);
@@ -60,7 +60,7 @@
   std::uint32_t last_of_first_service = 10;
 };
 
-TEST_CASE("a back end is taken for dead while others of its service answer", "[silence]") {
+TEST_CASE("silent backend is marked dead while others of its service answer", "[silence]") {
   Harness harness;
   harness.recordAnswers(1, kBackends);
   harness.recordThreeSilentFlows(kSilent);
@@ -68,7 +68,7 @@
   CHECK(harness.detector.isSuspect(kSilent));
 }
 
-TEST_CASE("a back end is not taken for dead where nobody else of its service answers",
+TEST_CASE("silent backend is not marked dead if no other backend of its service answers",
           "[silence]") {
   Harness harness;
   harness.last_of_first_service = kBackends - 2;
@@ -78,37 +78,37 @@
   CHECK(harness.detector.isSuspect(kSilent));
 }
 
-TEST_CASE("where many back ends of a service looked silent and answered, none is taken for dead",
+TEST_CASE("silent backend is not marked dead after many false suspicions of its service",
           "[silence]") {
   Harness harness;
   harness.recordAnswers(1, kBackends);
-  SECTION("of its service") {
+  SECTION("false suspicions of its service") {
     harness.recordLateAnswers(11, 13);
     harness.recordThreeSilentFlows(kSilent);
     CHECK_FALSE(harness.detector.isDead(kSilent));
-    SECTION("until that is long past") {
+    SECTION("until the false suspicions expire") {
       harness.time.elapsed += seconds(5);
       harness.recordAnswers(1, kBackends);
       harness.recordThreeSilentFlows(kSilent);
       CHECK(harness.detector.isDead(kSilent));
     }
   }
-  SECTION("but for others of another service") {
+  SECTION("false suspicions of another service do not count") {
     harness.recordLateAnswers(1, 9);
     harness.recordThreeSilentFlows(kSilent);
     CHECK(harness.detector.isDead(kSilent));
   }
-  SECTION("but for two, which may each have lost a packet") {
+  SECTION("two false suspicions are too few") {
     harness.recordLateAnswers(11, 12);
     harness.recordThreeSilentFlows(kSilent);
     CHECK(harness.detector.isDead(kSilent));
   }
 }
 
-TEST_CASE("under pressure a back end is passed over by lasting silence only", "[silence]") {
+TEST_CASE("under pressure only long silence makes a backend suspect", "[silence]") {
   Harness harness;
   harness.recordAnswers(1, kBackends);
-  SECTION("as others tell") {
+  SECTION("pressure reported by the injected source") {
     FakePressure pressure;
     pressure.service_under_pressure = ServiceId(2);
     harness.detector.setPressure(&pressure);
@@ -126,14 +126,14 @@
     harness.recordUnanswered(kSilent, 3, 2);
     CHECK_FALSE(harness.detector.isDead(kSilent));
   }
-  SECTION("as seen") {
+  SECTION("pressure derived from false suspicions") {
     harness.recordLateAnswers(11, 13);
     harness.recordUnanswered(kSilent, 1, 1);
     CHECK_FALSE(harness.detector.isSuspect(kSilent));
   }
 }
 
-TEST_CASE("what a node saw before it was behind is no evidence", "[silence]") {
+TEST_CASE("observations from before the balancer was late are discarded", "[silence]") {
   Harness harness;
   harness.recordAnswers(1, kBackends);
   harness.detector.onOpening(BackendId(19));
@@ -145,14 +145,14 @@
   CHECK_FALSE(harness.detector.isSuspect(kSilent));
   CHECK_FALSE(harness.detector.isSuspect(BackendId(19)));
   CHECK(harness.detector.observations().empty());
-  SECTION("nor are the packets that waited meanwhile") {
+  SECTION("retransmissions that were delayed meanwhile do not count") {
     harness.time.elapsed += milliseconds(10);
     for (std::uint16_t port = 1; port <= 3; ++port) {
       harness.recordUnanswered(kSilent, port, 2);
     }
     CHECK_FALSE(harness.detector.isDead(kSilent));
   }
-  SECTION("what comes later is") {
+  SECTION("later observations count") {
     harness.time.elapsed += milliseconds(10);
     harness.detector.onOpening(BackendId(19));
     harness.time.elapsed += milliseconds(150);
@@ -163,7 +163,7 @@
   }
 }
 
-/** A server that is down and up by turns; of every ten new flows one is its own. */
+/** A backend that alternates between up and down; every tenth new flow is offered to it. */
 struct FlappingBackend {
   struct Count {
     int offered = 0;
@@ -183,7 +183,7 @@
     simulateOpenFlow();
   }
 
-  /** A new flow comes; its opening's copy goes elsewhere. */
+  /** Offers a new flow; retransmissions of its opening go to another backend. */
   void simulateNewFlow() {
     ++count.offered;
     if (harness.detector.isSuspect(kSilent)) {
@@ -197,7 +197,7 @@
     }
   }
 
-  /** Asks every 100 ms and repeats itself after 0.2 and 0.6 s. */
+  /** Sends a request every 100 ms, with retransmissions after 0.2 and 0.6 s. */
   void simulateOpenFlow() {
     if (isUp() && harness.time.elapsed % (5 * kStep) == Duration::zero()) {
       harness.detector.onProgress(kSilent);
@@ -221,14 +221,14 @@
   Count count;
 };
 
-TEST_CASE("a server that fails by turns gets no more flows than its time up allows", "[silence]") {
+TEST_CASE("flapping backend gets at most the flows that its uptime allows", "[silence]") {
   FlappingBackend flapping;
   flapping.period = GENERATE(milliseconds(1000), milliseconds(1200), milliseconds(1520));
   flapping.run(3 * flapping.period);
   const auto count = flapping.run(3 * flapping.period);
   CHECK(2 * count.placed <= count.offered);
   CHECK(count.lost <= 1);
-  SECTION("and is trusted again in the end") {
+  SECTION("it gets all flows again once it stays up") {
     flapping.period = seconds(100);
     flapping.period_start = flapping.harness.time.elapsed;
     flapping.run(seconds(12));
@@ -237,7 +237,7 @@
   }
 }
 
-TEST_CASE("a server that has failed once is used as soon as it answers", "[silence]") {
+TEST_CASE("backend that failed once gets new flows as soon as it answers", "[silence]") {
   FlappingBackend flapping;
   flapping.period = seconds(2);
   const std::uint32_t expired_failures = GENERATE(0, 3);
--- a/tests/flow/zone_out_of_reach_test.cc
+++ b/tests/flow/zone_out_of_reach_test.cc
@@ -6,14 +6,14 @@
 namespace lugfork {
 namespace {
 
-/** Zones that can't be reached, as the test says. */
+/** Backends above a given id are out of reach. */
 struct FakeSuspicion : BackendSuspicion {
   bool isSuspect(BackendId backend) const override {
     return suspects_backends && isOutOfReach(backend);
   }
   bool isOutOfReach(BackendId backend) const override { return backend.value() > last_reachable; }
   std::uint32_t last_reachable = 30;
-  /** Its servers are suspect one by one, too. */
+  /** These backends are also suspect individually. */
   bool suspects_backends = true;
 };
 
@@ -23,7 +23,7 @@
     engine.setSuspicion(&suspicion);
   }
 
-  /** @return the highest id among the back ends of many placements. */
+  /** @return the highest id among the backends of many placements. */
   std::uint32_t maxPlacedId() {
     std::uint32_t max_id = 0;
     for (int flow = 0; flow < 500; ++flow) {
@@ -45,14 +45,14 @@
   std::uint64_t flows = 0;
 };
 
-TEST_CASE("zones out of reach get no new flow, however many they are", "[placement]") {
+TEST_CASE("zones out of reach get no new flow, regardless of their number", "[placement]") {
   Harness harness;
-  // Two of three zones: above the panic threshold, which would take them back in.
+  // Two of three zones: above the panic threshold, which would include them again.
   harness.suspicion.last_reachable = kBackendsPerZone;
   CHECK(harness.maxPlacedId() <= kBackendsPerZone);
 }
 
-TEST_CASE("a server of a zone out of reach that is written again gets no new flow", "[placement]") {
+TEST_CASE("updated backend of a zone out of reach gets no new flow", "[placement]") {
   Harness harness;
   harness.suspicion.suspects_backends = false;
   harness.suspicion.last_reachable = kBackendsPerZone;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("where no zone is in reach flows are placed as if all were", "[placement]") {
+TEST_CASE("flows are placed in all zones if none is in reach", "[placement]") {
   Harness harness;
   harness.suspicion.last_reachable = 0;
   CHECK(harness.maxPlacedId() > 2 * kBackendsPerZone);
