--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -46,7 +46,7 @@
   FlowDeciderSettings decider;
   PlacementSettings placement;
   ObservationUses uses;
-  SilenceSettings silence;
+  SilenceDetectorSettings silence;
   SharedEvidenceSettings evidence;
   ResponseTimeSettings response_times;
   /** Its weights are overwritten by those of the placement. */
@@ -54,7 +54,7 @@
   LoadEstimateSettings load;
   LoadControlSettings load_control;
   ZoneDemandSettings zone_demand;
-  ColdServerLimitSettings cold_backends;
+  ColdBackendLimitSettings cold_backends;
   ViewFollowerSettings follower;
 };
 
@@ -110,7 +110,7 @@
   void setCaughtUpCallback(std::function<void()> callback) { on_caught_up_ = std::move(callback); }
 
   /** Sets the function that determines which cold backends this balancer owns. */
-  void setIsOwner(ColdServerLimit::IsOwner is_owner) {
+  void setIsOwner(ColdBackendLimit::IsOwner is_owner) {
     cold_limit_.setIsOwner(std::move(is_owner));
   }
 
@@ -232,7 +232,7 @@
   BackendRegistry registry_;
   BackendLoadTable loads_;
   PlacementEngine placement_;
-  ColdServerLimit cold_limit_;
+  ColdBackendLimit cold_limit_;
   FlowDecider decider_;
   FlowObserver observer_;
   SilenceDetector silence_;
--- a/src/flow/locality_router.cc
+++ b/src/flow/locality_router.cc
@@ -226,7 +226,7 @@
       std::sqrt(state.local.varianceOfMean(now) + state.remote.varianceOfMean(now));
   const double service_ms = std::chrono::duration<double, std::milli>(service_time).count();
   return difference + standard_error < std::log(settings_.recovered_ratio) &&
-         state.remote.typicalMs() > settings_.queueing_ratio * service_ms;
+         state.remote.geometricMeanMs() > settings_.queueing_ratio * service_ms;
 }
 
 void LocalityRouter::reduceDemandOverflow(State& state, const LocalityCapacity& capacity) const {
@@ -261,7 +261,7 @@
   if (std::min(state.local.count(now), state.remote.count(now)) < kMinSamples) {
     return LatencyComparison::NotSlower;
   }
-  const double gain_ms = state.local.typicalMs() - state.remote.typicalMs();
+  const double gain_ms = state.local.geometricMeanMs() - state.remote.geometricMeanMs();
   const double min_gain_ms = std::chrono::duration<double, std::milli>(settings_.min_gain).count();
   const double difference = state.local.mean() - state.remote.mean();
   const double standard_error =
@@ -334,8 +334,8 @@
        {"own_slots_usable", static_cast<std::uint64_t>(std::lround(capacity.local_usable_slots))},
        {"all_slots_usable", static_cast<std::uint64_t>(std::lround(capacity.total_usable_slots))},
        {"own_demand_slots", static_cast<std::uint64_t>(std::lround(capacity.demand.busy_slots))},
-       {"own_ms", static_cast<std::uint64_t>(std::lround(state.local.typicalMs()))},
-       {"others_ms", static_cast<std::uint64_t>(std::lround(state.remote.typicalMs()))}});
+       {"own_ms", static_cast<std::uint64_t>(std::lround(state.local.geometricMeanMs()))},
+       {"others_ms", static_cast<std::uint64_t>(std::lround(state.remote.geometricMeanMs()))}});
 }
 
 }  // namespace lugfork
--- a/src/flow/packet_router.cc
+++ b/src/flow/packet_router.cc
@@ -60,7 +60,7 @@
     return BackendId();
   }
   if (earlier != nullptr) {
-    silence_.onOpeningRepeated(earlier->backend, packet.flow());
+    silence_.onOpeningRetransmitted(earlier->backend, packet.flow());
     return earlier->backend;
   }
   // The first transmission passed through another balancer, which made the same choice.
@@ -122,13 +122,13 @@
   const FlowObservation observation = observe(packet, backend.id);
   if (isDead(packet, backend, observation)) {
     reset(packet, Reason::BackendGone);
-    observer_.forget(packet.flow());
+    observer_.remove(packet.flow());
     return;
   }
   ++counters_.forwards;
   sender_.forwardPacket(backend, packet.token);
   if (packet.closes || packet.aborts) {
-    observer_.forget(packet.flow());
+    observer_.remove(packet.flow());
   }
 }
 
@@ -144,9 +144,9 @@
     host_.onResponse(backend, observation.response, observation.timing);
   }
   if (observation.evidence == FlowEvidence::Progress) {
-    silence_.onLife(backend, observation.repetitions);
+    silence_.onProgress(backend, observation.retransmissions);
   } else if (observation.evidence == FlowEvidence::Silence) {
-    silence_.onRepetition(backend, packet.flow(), observation.repetitions);
+    silence_.onRetransmission(backend, packet.flow(), observation.retransmissions);
   }
   return observation;
 }
@@ -156,10 +156,11 @@
   if (observation.evidence != FlowEvidence::Silence || !host_.resetsFlowsOfDeadBackends()) {
     return false;
   }
-  const bool is_dead_locally = !host_.requiresPeerEvidence() &&
-                               observation.repetitions >= silence_.repetitionsOfDead() &&
-                               silence_.isDead(backend.id);
-  return is_dead_locally || isDeadByPeerEvidence(packet, backend, observation.repetitions);
+  const bool is_dead_locally =
+      !host_.requiresPeerEvidence() &&
+      observation.retransmissions >= silence_.retransmissionsToDeclareDead() &&
+      silence_.isDead(backend.id);
+  return is_dead_locally || isDeadByPeerEvidence(packet, backend, observation.retransmissions);
 }
 
 bool PacketRouter::isDeadByPeerEvidence(const FlowPacket& packet, const Backend& backend,
--- a/src/flow/placement_engine.cc
+++ b/src/flow/placement_engine.cc
@@ -34,7 +34,7 @@
   }
   double weight(std::size_t index) const override {
     const Backend& backend = *backends_[index];
-    const double speed_fraction = speed_ == nullptr ? 1 : speed_->shareOf(backend.id);
+    const double speed_fraction = speed_ == nullptr ? 1 : speed_->flowFractionOf(backend.id);
     return speed_fraction * backend.slots * (backend.zone == local_zone_ ? local_weight_ : 1);
   }
 
@@ -154,7 +154,7 @@
 
 void PlacementEngine::onBackendRefusal(const Backend& backend, const FlowKey& attempt,
                                        Reason reason) {
-  const bool contradicts_report = reason == Reason::Overloaded && loads_.hasRoom(backend);
+  const bool contradicts_report = reason == Reason::Overloaded && loads_.hasFreeSlot(backend);
   const bool lost_state = reason == Reason::BackendGone || reason == Reason::WrongBackend;
   const Service* service = configuration_->service(backend.service);
   if (service == nullptr || !(contradicts_report || lost_state)) {
@@ -261,7 +261,7 @@
     suspects += isSuspect(*backend) ? 1 : 0;
   }
   // Without any report so far, requests in flight are used instead of the load estimate.
-  if (in_flight_ == nullptr || loads_.isTold()) {
+  if (in_flight_ == nullptr || loads_.hasReports()) {
     loads_.refreshService(service.id, list.backends);
   }
   list.ignore_reachability = static_cast<double>(reachable) <
@@ -290,7 +290,7 @@
   for (const Backend* backend : list.backends) {
     const bool is_usable =
         !isSuspect(*backend) && loads_.looksReachable(*backend) && now >= backend->cold_until;
-    const double speed_fraction = speed_ == nullptr ? 1 : speed_->shareOf(backend->id);
+    const double speed_fraction = speed_ == nullptr ? 1 : speed_->flowFractionOf(backend->id);
     const double available_slots = is_usable ? speed_fraction * backend->slots : 0;
     capacity.total_slots += backend->slots;
     capacity.total_usable_slots += available_slots;
--- a/src/flow/placement_engine.h
+++ b/src/flow/placement_engine.h
@@ -9,7 +9,7 @@
 #include "common/result.h"
 #include "config/live_configuration.h"
 #include "flow/backend_load_table.h"
-#include "flow/cold_server_limit.h"
+#include "flow/cold_backend_limit.h"
 #include "flow/locality_router.h"
 #include "flow/outlier_detector.h"
 #include "flow/policy/placement_policy.h"
@@ -48,7 +48,7 @@
   Duration max_retry_after_full = seconds(5);
   /** Retry delay sent to clients when there is no candidate at all. */
   Duration retry_after = seconds(1);
-  OutlierSettings outliers;
+  OutlierDetectorSettings outliers;
   /** Zone of this balancer; empty for none. */
   std::string local_zone;
   /** Weight of a backend in the local zone, as a multiple of that of backends in other zones. */
@@ -110,7 +110,7 @@
   void setRequestsInFlight(const RequestsInFlight* in_flight) { in_flight_ = in_flight; }
 
   /** Sets the limit of new flows to cold backends. */
-  void setColdServerLimit(ColdServerLimit* limit) { cold_limit_ = limit; }
+  void setColdServerLimit(ColdBackendLimit* limit) { cold_limit_ = limit; }
 
   /** Sets the source of detected backend health; suspect backends are excluded from placement. */
   void setBackendHealth(const BackendHealth* backend_health) { backend_health_ = backend_health; }
@@ -154,7 +154,7 @@
   void buildCandidates(const Service& service, CandidateList& list);
   bool isStale(const CandidateList& list) const;
   bool isEligible(const Service& service, const Backend& backend) const {
-    return service.allowsZone(backend.zone) && !loads_.isLeaving(backend);
+    return service.allowsZone(backend.zone) && !loads_.isDraining(backend);
   }
   void removeCandidate(const Backend* backend);
   void addCandidate(const Backend* backend);
@@ -185,7 +185,7 @@
   OutlierDetector outliers_;
   const BackendHealth* backend_health_ = nullptr;
   const BackendSpeed* speed_ = nullptr;
-  ColdServerLimit* cold_limit_ = nullptr;
+  ColdBackendLimit* cold_limit_ = nullptr;
   const RequestsInFlight* in_flight_ = nullptr;
   LocalityRouter* locality_ = nullptr;
   std::function<DemandEstimate(ServiceId)> zone_demand_;
--- a/src/flow/requests_in_flight.cc
+++ b/src/flow/requests_in_flight.cc
@@ -6,19 +6,19 @@
 
 namespace {
 
-/** Requests told apart for one back end; more make no difference. */
+/** Requests tracked for each backend; more make no difference. */
 constexpr std::size_t kMaxRequests = 64;
 
 }  // namespace
 
-void RequestsInFlight::begin(BackendId backend, const FlowId& flow, Duration lifetime) {
+void RequestsInFlight::begin(BackendId backend, const FlowId& flow, Duration ttl) {
   const MonotonicTime now = time_source_.monotonicTime();
   std::vector<Request>& requests = requests_[backend];
   std::erase_if(requests, [&](const Request& request) {
     return request.flow == flow || request.counts_until <= now;
   });
   if (requests.size() < kMaxRequests) {
-    requests.push_back({flow, now + lifetime});
+    requests.push_back({flow, now + ttl});
   }
 }
 
--- a/src/flow/retry_budget.h
+++ b/src/flow/retry_budget.h
@@ -6,53 +6,57 @@
 
 namespace lugfork {
 
-/** Tunables of a retry budget. */
+/** Settings of a RetryBudget. */
 struct RetryBudgetSettings {
-  /** Retries that each first try allows for. */
-  double share = 0.2;
-  /** Retries a second that are allowed for without any first try. */
-  double floor_per_second = 2;
-  /** Most retries that may be saved up. */
+  /** Retries that each first attempt adds to the budget. */
+  double retries_per_attempt = 0.2;
+  /** Retries per second that are allowed without any first attempt. */
+  double min_retries_per_second = 2;
+  /** Maximum number of retries that can be accumulated. */
   double capacity = 50;
 };
 
 /**
- * Token bucket that limits retries to a share of first tries plus a small floor, so that retries
- * can't multiply the load of a service that refuses much.
+ * Token bucket that limits retries to a fraction of the first attempts plus a low constant rate, so
+ * that retries cannot multiply the load of a service that rejects many flows.
  */
 class RetryBudget {
  public:
   RetryBudget(RetryBudgetSettings settings, const TimeSource& time_source)
       : settings_(settings),
         time_source_(time_source),
-        balance_(settings.capacity),
+        tokens_(settings.capacity),
         refilled_at_(time_source.monotonicTime()) {}
 
-  /** Notes a first try. */
-  void onFirstTry() { add(settings_.share); }
+  /** Counts a first attempt. */
+  void onFirstAttempt() { add(settings_.retries_per_attempt); }
 
-  /** @return true if a retry may be made now; it is taken from the budget. */
+  /**
+   * Takes a retry from the budget.
+   * @return true if a retry is allowed now.
+   */
   bool tryTake() {
     refill();
-    if (balance_ < 1) {
+    if (tokens_ < 1) {
       return false;
     }
-    balance_ -= 1;
+    tokens_ -= 1;
     return true;
   }
 
  private:
-  void add(double amount) { balance_ = std::min(settings_.capacity, balance_ + amount); }
+  void add(double amount) { tokens_ = std::min(settings_.capacity, tokens_ + amount); }
 
   void refill() {
     const MonotonicTime now = time_source_.monotonicTime();
-    add(std::chrono::duration<double>(now - refilled_at_).count() * settings_.floor_per_second);
+    add(std::chrono::duration<double>(now - refilled_at_).count() *
+        settings_.min_retries_per_second);
     refilled_at_ = now;
   }
 
   const RetryBudgetSettings settings_;
   const TimeSource& time_source_;
-  double balance_;
+  double tokens_;
   MonotonicTime refilled_at_;
 };
 
--- a/tests/discovery/evidence_exchange_test.cc
+++ b/tests/discovery/evidence_exchange_test.cc
@@ -131,27 +131,27 @@
   SmallFleet fleet;
   // Each balancer has reported a silent backend once, so that it receives digests.
   for (const auto& node : fleet.nodes) {
-    node->evidence.isAnswered(2);
-    node->evidence.isAnswered(3);
-    node->evidence.isAnswered(12);
-    node->evidence.isAnswered(13);
-    node->evidence.loses(30);
+    node->evidence.recordAnswer(2);
+    node->evidence.recordAnswer(3);
+    node->evidence.recordAnswer(12);
+    node->evidence.recordAnswer(13);
+    node->evidence.recordUnanswered(30);
   }
   fleet.scheduler.advance(milliseconds(500));
-  fleet.slowLinkNode(0).evidence.loses(5);
-  fleet.slowLinkNode(1).evidence.loses(5);
+  fleet.slowLinkNode(0).evidence.recordUnanswered(5);
+  fleet.slowLinkNode(1).evidence.recordUnanswered(5);
   fleet.scheduler.advance(milliseconds(310));
-  CHECK(fleet.slowLinkNode(2).evidence.suspects(5));
-  CHECK(fleet.nodes[0]->evidence.suspects(5));
+  CHECK(fleet.slowLinkNode(2).evidence.isSuspect(5));
+  CHECK(fleet.nodes[0]->evidence.isSuspect(5));
   SECTION("balancers of another zone don't suspect it") {
     for (std::size_t index = 6; index < 12; ++index) {
-      CHECK_FALSE(fleet.nodes[index]->evidence.suspects(5));
+      CHECK_FALSE(fleet.nodes[index]->evidence.isSuspect(5));
     }
   }
   SECTION("an answer to one balancer ends the suspicion") {
-    fleet.slowLinkNode(3).evidence.isAnswered(5);
+    fleet.slowLinkNode(3).evidence.recordAnswer(5);
     fleet.scheduler.advance(milliseconds(310));
-    CHECK_FALSE(fleet.slowLinkNode(2).evidence.suspects(5));
+    CHECK_FALSE(fleet.slowLinkNode(2).evidence.isSuspect(5));
   }
 }
 
@@ -160,19 +160,19 @@
   fleet.partitioned_zone = "lac";
   for (std::size_t index = 0; index < 6; ++index) {
     FleetNode& node = *fleet.nodes[index];
-    node.evidence.isAnswered(1);
-    node.evidence.isAnswered(2);
+    node.evidence.recordAnswer(1);
+    node.evidence.recordAnswer(2);
   }
   fleet.scheduler.advance(milliseconds(300));
   for (std::uint32_t index = 0; index < 6; ++index) {
-    fleet.nodes[index]->evidence.loses(11 + index);
-    fleet.nodes[index]->evidence.isAnswered(1);
+    fleet.nodes[index]->evidence.recordUnanswered(11 + index);
+    fleet.nodes[index]->evidence.recordAnswer(1);
   }
   fleet.scheduler.advance(milliseconds(310));
   for (std::size_t index = 0; index < 6; ++index) {
     CHECK(fleet.nodes[index]->evidence.shared.isInUnreachableZone(BackendId(20)));
     CHECK_FALSE(fleet.nodes[index]->evidence.shared.isInUnreachableZone(BackendId(10)));
-    CHECK(fleet.nodes[6 + index]->evidence.shared.told().empty());
+    CHECK(fleet.nodes[6 + index]->evidence.shared.reportedSilence().empty());
   }
 }
 
@@ -181,22 +181,22 @@
   SmallFleet fleet;
   const auto stopped = static_cast<std::size_t>(GENERATE(0, 1));
   for (const auto& node : fleet.nodes) {
-    node->evidence.isAnswered(1);
-    node->evidence.loses(30);
+    node->evidence.recordAnswer(1);
+    node->evidence.recordUnanswered(30);
   }
   fleet.scheduler.advance(milliseconds(500));
   fleet.nodes[stopped]->is_unresponsive = true;
   for (std::uint16_t round = 0; round < 15; ++round) {
     for (int index = 0; index < 3; ++index) {
-      fleet.slowLinkNode(index).evidence.loses(29, round);
+      fleet.slowLinkNode(index).evidence.recordUnanswered(29, round);
     }
     fleet.scheduler.advance(milliseconds(100));
   }
   for (int index = 0; index < 2; ++index) {
-    fleet.slowLinkNode(index).evidence.loses(5);
+    fleet.slowLinkNode(index).evidence.recordUnanswered(5);
   }
   fleet.scheduler.advance(milliseconds(700));
-  CHECK(fleet.slowLinkNode(2).evidence.suspects(5));
+  CHECK(fleet.slowLinkNode(2).evidence.isSuspect(5));
 }
 
 TEST_CASE("balancers without support for the messages get no reports during a cooldown",
@@ -206,15 +206,15 @@
     fleet.nodes[index]->is_unresponsive = true;
   }
   FleetNode& alone = *fleet.nodes[0];
-  alone.evidence.isAnswered(1);
+  alone.evidence.recordAnswer(1);
   for (int round = 0; round < 40; ++round) {
-    alone.evidence.loses(5, static_cast<std::uint16_t>(round));
+    alone.evidence.recordUnanswered(5, static_cast<std::uint16_t>(round));
     fleet.scheduler.advance(milliseconds(100));
   }
   // Eleven others, four at a time for two seconds each; limited by the byte rate of reports.
   CHECK(alone.bytes <= 4 * 350 + 500 + 400);
-  CHECK(alone.evidence.own.isSuspect(BackendId(5)));
-  CHECK_FALSE(alone.evidence.suspects(6));
+  CHECK(alone.evidence.local.isSuspect(BackendId(5)));
+  CHECK_FALSE(alone.evidence.isSuspect(6));
 }
 
 TEST_CASE("nothing is sent in an hour without silent backends", "[evidence_exchange]") {
@@ -222,8 +222,8 @@
   for (int second = 0; second < 3600; ++second) {
     for (const auto& node : fleet.nodes) {
       const BackendId backend(1 + static_cast<std::uint32_t>(second) % 30);
-      node->evidence.own.onOpening(backend);
-      node->evidence.own.onLife(backend);
+      node->evidence.local.onOpening(backend);
+      node->evidence.local.onProgress(backend);
     }
     fleet.scheduler.advance(seconds(1));
   }
@@ -247,9 +247,9 @@
     for (const auto& node : fleet.nodes) {
       const auto backend = static_cast<std::uint32_t>(1 + random->below(30));
       if (backend % 3 == 0) {
-        node->evidence.isAnswered(backend);
+        node->evidence.recordAnswer(backend);
       } else {
-        node->evidence.loses(backend, static_cast<std::uint16_t>(random->below(1000)));
+        node->evidence.recordUnanswered(backend, static_cast<std::uint16_t>(random->below(1000)));
       }
     }
     fleet.scheduler.advance(milliseconds(100));
--- a/tests/flow/cold_server_limit_test.cc
+++ b/tests/flow/cold_backend_limit_test.cc
@@ -1,4 +1,4 @@
-#include "flow/cold_server_limit.h"
+#include "flow/cold_backend_limit.h"
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr double kFlowsPerSecond = 10;
-/** With the default settings: 10 x 1.5 + 5. */
-constexpr std::size_t kBound = 20;
+/** Bound with the default settings: 10 x 1.5 + 5. */
+constexpr std::size_t kMaxFlowsPerSecond = 20;
 
 Backend coldBackend(const ManualTimeSource& time, std::uint32_t id = 1) {
   Backend backend = makeBackend(id, ServiceId(1), kLac);
@@ -22,9 +22,9 @@
   return backend;
 }
 
-std::size_t placeAll(ColdServerLimit& limit, const Backend& backend, std::size_t tries) {
+std::size_t placeAll(ColdBackendLimit& limit, const Backend& backend, std::size_t attempts) {
   std::size_t placed = 0;
-  for (std::size_t count = 0; count < tries; ++count) {
+  for (std::size_t count = 0; count < attempts; ++count) {
     if (limit.admits(backend)) {
       limit.onPlaced(backend);
       ++placed;
@@ -33,9 +33,9 @@
   return placed;
 }
 
-TEST_CASE("a warm server, and one without a limit, gets every flow", "[cold_server_limit]") {
+TEST_CASE("warm backend, and cold one without a limit, gets every flow", "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({}, time);
+  ColdBackendLimit limit({}, time);
   Backend warm = coldBackend(time);
   warm.cold_until = time.monotonicTime();
   CHECK(placeAll(limit, warm, 1000) == 1000);
@@ -44,33 +44,32 @@
   CHECK(placeAll(limit, unlimited, 1000) == 1000);
 }
 
-TEST_CASE("a cold server gets a part of its bound from an owner, and nothing from others",
+TEST_CASE("cold backend gets a fraction of its bound from an owner, and nothing from others",
           "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({}, time);
+  ColdBackendLimit limit({}, time);
   const Backend cold = coldBackend(time);
   CHECK(placeAll(limit, cold, 100) == 0);
-  time.elapsed += ColdServerLimitSettings().start_delay;
-  CHECK(placeAll(limit, cold, 100) == kBound / 4);
+  time.elapsed += ColdBackendLimitSettings().start_delay;
+  CHECK(placeAll(limit, cold, 100) == kMaxFlowsPerSecond / 4);
   time.elapsed += milliseconds(1050);
   CHECK(placeAll(limit, cold, 100) == 0);
   time.elapsed += milliseconds(100);
-  CHECK(placeAll(limit, cold, 100) == kBound / 4);
+  CHECK(placeAll(limit, cold, 100) == kMaxFlowsPerSecond / 4);
   limit.setIsOwner([](std::uint64_t) { return false; });
   time.elapsed += seconds(2);
   CHECK(placeAll(limit, cold, 100) == 0);
 }
 
-TEST_CASE("a bound too small to be divided lets nothing pass", "[cold_server_limit]") {
+TEST_CASE("bound too small to be divided admits no flow", "[cold_server_limit]") {
   ManualTimeSource time;
-  ColdServerLimit limit({1.0, 0.0, seconds(0)}, time);
+  ColdBackendLimit limit({1.0, 0.0, seconds(0)}, time);
   Backend cold = coldBackend(time);
   cold.cold_flows_per_second = 3;
   CHECK(placeAll(limit, cold, 100) == 0);
 }
 
-TEST_CASE("owners are few, and the same in every balancer that knows the fleet",
-          "[cold_server_limit]") {
+TEST_CASE("all balancers that know the whole fleet agree on a few owners", "[cold_server_limit]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   const std::uint32_t fleet = GENERATE(as<std::uint32_t>(), 1, 2, 7, 89, 300);
@@ -79,51 +78,52 @@
   for (std::uint32_t address = 1; address <= fleet; ++address) {
     all.push_back(Endpoint{address, 1});
   }
-  constexpr std::uint64_t kServers = 50;
+  constexpr std::uint64_t kBackends = 50;
   for (const PeerInfo& self : all) {
     PeerDirectory directory({}, self, {}, time, *random);
     directory.onPeersReported(all);
-    for (std::uint64_t server = 1; server <= kServers; ++server) {
-      owners[server] += directory.isOwner(server, kOwnersOfColdServer) ? 1 : 0;
+    for (std::uint64_t backend_id = 1; backend_id <= kBackends; ++backend_id) {
+      owners[backend_id] += directory.isOwner(backend_id, kOwnersPerColdBackend) ? 1 : 0;
     }
   }
-  for (std::uint64_t server = 1; server <= kServers; ++server) {
-    CHECK(owners[server] >= 1);
-    CHECK(owners[server] <= kOwnersOfColdServer);
+  for (std::uint64_t backend_id = 1; backend_id <= kBackends; ++backend_id) {
+    CHECK(owners[backend_id] >= 1);
+    CHECK(owners[backend_id] <= kOwnersPerColdBackend);
   }
 }
 
-/** Balancers of which each knows a random part of one of two halves, and which restart at random.
+/**
+ * Each balancer knows the peers in its half of a partitioned fleet; balancers restart at random.
  */
-TEST_CASE("the sum of all balancers stays under the bound in any second", "[cold_server_limit]") {
-  rc::prop("two halves of a fleet, restarts, uneven load", [] {
+TEST_CASE("sum over all balancers stays within the bound in any second", "[cold_server_limit]") {
+  rc::prop("partitioned fleet, restarts, uneven load", [] {
     ManualTimeSource time;
     const auto random = makeSeededRandom(*rc::gen::inRange(1, 1000000));
     const auto fleet = *rc::gen::inRange<std::uint32_t>(1, 24);
     const auto split = *rc::gen::inRange<std::uint32_t>(0, fleet + 1);
     const Backend cold = coldBackend(time);
     std::vector<std::unique_ptr<PeerDirectory>> directories;
-    std::vector<std::unique_ptr<ColdServerLimit>> limits;
+    std::vector<std::unique_ptr<ColdBackendLimit>> limits;
     const auto start = [&](std::size_t index) {
-      auto limit = std::make_unique<ColdServerLimit>(ColdServerLimitSettings(), time);
+      auto limit = std::make_unique<ColdBackendLimit>(ColdBackendLimitSettings(), time);
       PeerDirectory* directory = directories[index].get();
       limit->setIsOwner([directory](std::uint64_t server_id) {
-        return directory->isOwner(server_id, kOwnersOfColdServer);
+        return directory->isOwner(server_id, kOwnersPerColdBackend);
       });
       return limit;
     };
-    for (std::uint32_t own = 0; own < fleet; ++own) {
+    for (std::uint32_t local = 0; local < fleet; ++local) {
       directories.push_back(std::make_unique<PeerDirectory>(
-          PeerDirectorySettings(), Endpoint{own + 1, 1}, std::vector<Endpoint>(), time, *random));
+          PeerDirectorySettings(), Endpoint{local + 1, 1}, std::vector<Endpoint>(), time, *random));
       for (std::uint32_t peer = 0; peer < fleet; ++peer) {
-        if ((own < split) == (peer < split)) {
+        if ((local < split) == (peer < split)) {
           directories.back()->onAnswer({peer + 1, 1});
         }
       }
-      limits.push_back(start(own));
+      limits.push_back(start(local));
     }
     time.elapsed += seconds(6);
-    std::deque<MonotonicTime> sent;
+    std::deque<MonotonicTime> placed_at;
     for (int step = 0; step < 400; ++step) {
       time.elapsed += milliseconds(static_cast<int>(random->below(40)));
       const std::size_t index = random->below(fleet);
@@ -131,11 +131,11 @@
         limits[index] = start(index);
       }
       const std::size_t placed = placeAll(*limits[index], cold, random->below(8));
-      sent.insert(sent.end(), placed, time.monotonicTime());
-      while (time.monotonicTime() - sent.front() > seconds(1) && !sent.empty()) {
-        sent.pop_front();
+      placed_at.insert(placed_at.end(), placed, time.monotonicTime());
+      while (time.monotonicTime() - placed_at.front() > seconds(1) && !placed_at.empty()) {
+        placed_at.pop_front();
       }
-      RC_ASSERT(sent.size() <= kBound);
+      RC_ASSERT(placed_at.size() <= kMaxFlowsPerSecond);
     }
   });
 }
--- a/tests/flow/locality_router_test.cc
+++ b/tests/flow/locality_router_test.cc
@@ -172,9 +172,9 @@
     }
   };
   answer(100, milliseconds(300));
-  CHECK(times.typicalMs() == Approx(300).epsilon(0.01));
+  CHECK(times.geometricMeanMs() == Approx(300).epsilon(0.01));
   answer(200, milliseconds(30));
-  CHECK(times.typicalMs() == Approx(30).epsilon(0.05));
+  CHECK(times.geometricMeanMs() == Approx(30).epsilon(0.05));
 }
 
 TEST_CASE("too few answers do not change the weight", "[locality]") {
--- a/tests/flow/outlier_detector_test.cc
+++ b/tests/flow/outlier_detector_test.cc
@@ -8,15 +8,15 @@
 namespace lugfork {
 namespace {
 
-struct OutlierHarness {
+struct Harness {
   void fail(std::uint32_t id, int times) {
     for (int time_index = 0; time_index < times; ++time_index) {
       detector.onFailure(makeBackend(id, ServiceId(1), kLac), FlowKey{{1, ++attempts}, 0}, 10);
     }
   }
 
-  /** @return how long the back end stays ejected from now on. */
-  Duration timeEjected(std::uint32_t id) {
+  /** @return how long the backend stays ejected from now on. */
+  Duration ejectionDuration(std::uint32_t id) {
     const Duration start = time.elapsed;
     while (detector.isEjected(BackendId(id))) {
       time.elapsed += milliseconds(10);
@@ -26,12 +26,12 @@
 
   ManualTimeSource time;
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(3);
-  OutlierDetector detector{OutlierSettings(), time, *random};
+  OutlierDetector detector{OutlierDetectorSettings(), time, *random};
   std::uint64_t attempts = 0;
 };
 
-TEST_CASE("an ejection follows from failures in a row, and grows with each one") {
-  OutlierHarness harness;
+TEST_CASE("consecutive failures eject a backend, for longer each time") {
+  Harness harness;
   harness.fail(1, 4);
   CHECK_FALSE(harness.detector.isEjected(BackendId(1)));
   harness.detector.onSuccess(BackendId(1));
@@ -39,15 +39,15 @@
   CHECK_FALSE(harness.detector.isEjected(BackendId(1)));
   harness.fail(1, 1);
   for (int ejection = 1; ejection <= 3; ++ejection) {
-    const Duration ejected = harness.timeEjected(1);
+    const Duration ejected = harness.ejectionDuration(1);
     CHECK(ejected >= seconds(5 * ejection));
     CHECK(ejected <= seconds(6 * ejection) + milliseconds(10));
     harness.fail(1, 5);
   }
 }
 
-TEST_CASE("copies of one attempt and failures long ago do not add up") {
-  OutlierHarness harness;
+TEST_CASE("retransmissions of one attempt and old failures do not add up") {
+  Harness harness;
   const Backend backend = makeBackend(1, ServiceId(1), kLac);
   for (int copy = 0; copy < 50; ++copy) {
     harness.detector.onFailure(backend, FlowKey{{1, 1}, 0}, 10);
@@ -60,8 +60,8 @@
   CHECK_FALSE(harness.detector.isEjected(BackendId(2)));
 }
 
-TEST_CASE("no more than the set share of a service is ejected at a time") {
-  OutlierHarness harness;
+TEST_CASE("ejected fraction of a service is bounded") {
+  Harness harness;
   for (std::uint32_t id = 1; id <= 10; ++id) {
     harness.fail(id, 20);
   }
@@ -72,7 +72,8 @@
   CHECK(ejected == 3);
 }
 
-TEST_CASE("a retry budget allows a share of first tries, a floor, and no more than its capacity") {
+TEST_CASE(
+    "retry budget allows a fraction of first attempts, a minimum rate, and at most its capacity") {
   ManualTimeSource time;
   RetryBudget budget({0.2, 2, 5}, time);
   const auto drain = [&] {
@@ -84,7 +85,7 @@
   };
   CHECK(drain() == 5);
   for (int first_try = 0; first_try < 11; ++first_try) {
-    budget.onFirstTry();
+    budget.onFirstAttempt();
   }
   CHECK(drain() == 2);
   time.elapsed += seconds(1);
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -9,38 +9,42 @@
 #include "flow/evidence_fixture.h"
 #include "flow/packet_router.h"
 
-/** Callers that keep flows open, balancers of one zone that tell each other, servers with queues.
+/**
+ * Clients with persistent flows, balancers of one zone that exchange evidence, backends with
+ * queues.
  */
 namespace lugfork {
 
-/** What keeps a balancer from taking a full server for a dead one. */
-struct Ways {
-  /** Open flows are reset only by what several balancers have seen. */
-  bool asks_others = true;
-  /** Nothing is reset while many servers look silent and then answer. */
-  bool has_gate = true;
-  /** A balancer that stood still is told so. */
-  bool tells_behind = true;
+/** Mechanisms that keep a balancer from treating an overloaded backend as dead. */
+struct Safeguards {
+  /** Open flows are reset only on evidence of several balancers. */
+  bool shares_evidence = true;
+  /** No flow is reset while many backends look silent and then answer. */
+  bool limits_false_suspicions = true;
+  /** A balancer that was suspended discards the evidence from before. */
+  bool detects_delay = true;
 };
 
-inline FalseSuspicionSettings gateOf(const Ways& ways) {
+inline FalseSuspicionSettings falseSuspicionSettings(const Safeguards& safeguards) {
   FalseSuspicionSettings settings;
-  settings.least = ways.has_gate ? settings.least : std::numeric_limits<std::size_t>::max();
+  settings.min_backends = safeguards.limits_false_suspicions
+                              ? settings.min_backends
+                              : std::numeric_limits<std::size_t>::max();
   return settings;
 }
 
-/** A balancer's data path; what it sends goes to the callbacks. */
+/** Data path of a balancer; callbacks receive the packets that it sends. */
 struct ReplayNode : PacketSender, PacketRouterHost {
   using Forward = std::function<void(BackendId, CompactToken)>;
   using Reset = std::function<void(const FlowPacket&)>;
 
-  ReplayNode(const Ways& chosen, ManualTimeSource& clock, RandomGenerator& random,
+  ReplayNode(const Safeguards& chosen, ManualTimeSource& clock, RandomGenerator& random,
              const ConfigurationViewPtr& view, Forward on_forward, Reset on_reset)
-      : ways(chosen),
+      : safeguards(chosen),
         forward(std::move(on_forward)),
         reset(std::move(on_reset)),
-        silence({.false_suspicions = gateOf(chosen)}, clock, log),
-        shared({.false_suspicions = gateOf(chosen)}, silence, clock, log),
+        silence({.false_suspicions = falseSuspicionSettings(chosen)}, clock, log),
+        shared({.false_suspicions = falseSuspicionSettings(chosen)}, silence, clock, log),
         reporter(EvidenceReporterSettings(), "lac", silence, shared, clock),
         loads(LoadEstimateSettings(), clock),
         placement(PlacementSettings(), makePlacementPolicy("bounded_rendezvous"), loads, clock,
@@ -48,7 +52,7 @@
         decider(FlowDeciderSettings(), clock, placement, *this),
         observer(FlowObserverSettings(), clock),
         router(decider, silence, observer, tokens, *this, *this, log) {
-    silence.setServiceOf([](BackendId) { return ServiceId(1); });
+    silence.setServiceLookup([](BackendId) { return ServiceId(1); });
     ConfigurationChanges all;
     all.services = true;
     for (const Backend& backend : view->document().backends) {
@@ -58,14 +62,14 @@
     reporter.setConfiguration(*view);
     decider.setConfiguration(view);
     decider.setCompactTokens(&tokens);
-    const BackendHealth& by_self = silence;
-    const BackendHealth& by_all = shared;
-    placement.setBackendHealth(ways.asks_others ? &by_all : &by_self);
+    const BackendHealth& local_suspicion = silence;
+    const BackendHealth& shared_suspicion = shared;
+    placement.setBackendHealth(safeguards.shares_evidence ? &shared_suspicion : &local_suspicion);
     placement.setRequestsInFlight(&observer.requestsInFlight());
   }
 
   void onBehind() {
-    if (ways.tells_behind) {
+    if (safeguards.detects_delay) {
       silence.onBehind();
       shared.onBehind();
       observer.onBehind();
@@ -82,17 +86,17 @@
   bool viewIsFresh() const override { return true; }
   bool backendListIsComplete() const override { return true; }
   bool resetsFlowsOfDeadBackends() const override { return true; }
-  bool requiresPeerEvidence() const override { return ways.asks_others; }
+  bool requiresPeerEvidence() const override { return safeguards.shares_evidence; }
   ViewStamp viewStamp() const override { return {}; }
   void onHandshake(Duration) override {}
   void onRequest(BackendId) override {}
   void onResponse(BackendId, Duration, ResponseTiming) override {}
   std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
                                                  std::uint16_t repetitions) const override {
-    return ways.asks_others ? shared.deathOf(backend, repetitions) : std::nullopt;
+    return safeguards.shares_evidence ? shared.deathEvidence(backend, repetitions) : std::nullopt;
   }
 
-  const Ways ways;
+  const Safeguards safeguards;
   const Forward forward;
   const Reset reset;
   NullEventLog log;
@@ -110,38 +114,39 @@
 class OverloadReplay {
  public:
   static constexpr std::uint32_t kNodes = 12;
-  static constexpr std::uint32_t kServers = 3 * kServersInZone;
+  static constexpr std::uint32_t kBackends = 3 * kBackendsPerZone;
   static constexpr std::size_t kSlots = 2;
-  static constexpr std::size_t kQueue = 8;
-  static constexpr Duration kWork = milliseconds(50);
-  static constexpr Duration kThink = milliseconds(300);
-  /** Nearly all flows go through another balancer after this long. */
-  static constexpr Duration kEra = seconds(3);
-  /** When callers beyond the usual begin. */
-  static constexpr Duration kRush = seconds(4);
-  static constexpr Duration kStall = milliseconds(700);
-  /** Callers give an opening up after this long, and a request of an open flow. */
-  static constexpr Duration kOpeningPatience = milliseconds(1400);
-  static constexpr Duration kRequestPatience = seconds(3);
+  static constexpr std::size_t kQueueLength = 8;
+  static constexpr Duration kServiceTime = milliseconds(50);
+  static constexpr Duration kThinkTime = milliseconds(300);
+  /** After this period nearly all flows go through another balancer. */
+  static constexpr Duration kRoutingPeriod = seconds(3);
+  /** When the clients beyond the initial load start. */
+  static constexpr Duration kSurgeAt = seconds(4);
+  static constexpr Duration kStallDuration = milliseconds(700);
+  /** Clients abandon an opening, and a request of an open flow, after these times. */
+  static constexpr Duration kOpeningTimeout = milliseconds(1400);
+  static constexpr Duration kRequestTimeout = seconds(3);
 
   struct Result {
     int answered = 0;
-    /** Resets of open flows whose server lives. */
-    int broken = 0;
-    /** Resets of open flows of the dead server. */
-    int freed = 0;
-    /** Openings at the dead server after it died. */
+    /** Resets of open flows whose backend is alive. */
+    int wrong_resets = 0;
+    /** Resets of open flows of the failed backend. */
+    int correct_resets = 0;
+    /** Openings forwarded to the failed backend after its failure. */
     int lost_openings = 0;
   };
 
-  /** Three balancers stand still for 0.7 s of each 2 s; their packets wait. */
-  void stallSome() { stalled_nodes_ = 3; }
+  /** Suspends three balancers for 0.7 s of every 2 s; their packets are delayed. */
+  void enableStalls() { stalled_nodes_ = 3; }
 
   /**
-   * @param load requests offered, as a multiple of what the servers' slots do.
-   * @param usual of them, what is offered from the start; the rest begins together, later.
+   * @param load requests offered, as a ratio to the capacity of the backends' slots.
+   * @param initial_load the part of it that is offered from the start; the rest starts at kSurgeAt.
    */
-  OverloadReplay(std::uint64_t seed, const Ways& ways, double load, double usual = 100)
+  OverloadReplay(std::uint64_t seed, const Safeguards& safeguards, double load,
+                 double initial_load = 100)
       : random_(makeSeededRandom(seed)),
         view_(viewOf(threeZones())),
         collector_(EvidenceCollectorSettings(), "lac", time_, log_,
@@ -150,24 +155,24 @@
                    }) {
     for (std::uint32_t index = 0; index < kNodes; ++index) {
       nodes_.push_back(std::make_unique<ReplayNode>(
-          ways, time_, *random_, view_,
+          safeguards, time_, *random_, view_,
           [this](BackendId backend, CompactToken token) { onForward(backend, token); },
           [this](const FlowPacket& packet) { onReset(packet); }));
     }
-    const double requests_a_second = load * kServers * kSlots * seconds(1) / kWork;
-    const double cycle = std::chrono::duration<double>(kWork + kThink).count();
-    flows_.resize(static_cast<std::size_t>(requests_a_second * cycle));
+    const double requests_per_second = load * kBackends * kSlots * seconds(1) / kServiceTime;
+    const double cycle = std::chrono::duration<double>(kServiceTime + kThinkTime).count();
+    flows_.resize(static_cast<std::size_t>(requests_per_second * cycle));
     for (std::size_t index = 0; index < flows_.size(); ++index) {
-      const bool is_usual =
-          load * static_cast<double>(index) < usual * static_cast<double>(flows_.size());
-      after(scaled(kThink) + (is_usual ? Duration::zero() : kRush),
+      const bool is_initial =
+          load * static_cast<double>(index) < initial_load * static_cast<double>(flows_.size());
+      after(scaled(kThinkTime) + (is_initial ? Duration::zero() : kSurgeAt),
             [this, &flow = flows_[index]] { open(flow); });
     }
     exchangeEvidence();
   }
 
-  void kill(BackendId server, Duration when) {
-    after(when, [this, server] { dead_ = server; });
+  void kill(BackendId backend, Duration when) {
+    after(when, [this, backend] { dead_ = backend; });
   }
 
   Result run(Duration duration) {
@@ -182,21 +187,21 @@
 
  private:
   struct Flow {
-    Endpoint caller;
+    Endpoint client;
     CompactToken token;
-    BackendId server;
+    BackendId backend;
     bool open = false;
     std::uint32_t sequence = 0;
     std::uint32_t acknowledged = 0;
-    /** Number of what the caller waits for; timers of earlier ones do nothing. */
+    /** Number of the current opening or request; timers of earlier ones are ignored. */
     int attempt = 0;
-    /** What the server has taken. */
-    int taken = 0;
+    /** Last attempt that the backend accepted. */
+    int accepted_attempt = 0;
   };
 
-  struct Server {
+  struct BackendState {
     std::array<MonotonicTime, kSlots> free_at{};
-    std::size_t present = 0;
+    std::size_t request_count = 0;
   };
 
   void after(Duration delay, std::function<void()> event) {
@@ -209,7 +214,7 @@
 
   FlowPacket packetOf(const Flow& flow) const {
     FlowPacket packet;
-    packet.client = flow.caller;
+    packet.client = flow.client;
     packet.service = kListen;
     packet.token = flow.token;
     packet.sequence = flow.sequence;
@@ -218,40 +223,40 @@
   }
 
   void send(Flow& flow, const FlowPacket& packet) {
-    const auto era = static_cast<std::uint64_t>(time_.elapsed / kEra);
-    const std::uint64_t hash = (flow.caller.port + era * 7919) * 0x9e3779b97f4a7c15ULL;
+    const auto period = static_cast<std::uint64_t>(time_.elapsed / kRoutingPeriod);
+    const std::uint64_t hash = (flow.client.port + period * 7919) * 0x9e3779b97f4a7c15ULL;
     const std::size_t node = (hash >> 32) % kNodes;
-    const Duration wait = waitAt(node);
-    if (wait == Duration::zero()) {
+    const Duration delay = delayAt(node);
+    if (delay == Duration::zero()) {
       deliver(node, flow, packet);
       return;
     }
-    after(wait, [this, node, &flow, packet, was_stalled_at = time_.monotonicTime()] {
-      if (woken_at_[node] < was_stalled_at) {
-        woken_at_[node] = time_.monotonicTime();
+    after(delay, [this, node, &flow, packet, was_stalled_at = time_.monotonicTime()] {
+      if (resumed_at_[node] < was_stalled_at) {
+        resumed_at_[node] = time_.monotonicTime();
         nodes_[node]->onBehind();
       }
       deliver(node, flow, packet);
     });
   }
 
-  /** @return time until the node goes on. */
-  Duration waitAt(std::size_t node) const {
+  /** @return time until the node resumes. */
+  Duration delayAt(std::size_t node) const {
     const Duration phase = (time_.elapsed + node * milliseconds(300)) % seconds(2);
-    const bool stands = node < stalled_nodes_ && phase < kStall;
-    return stands ? kStall - phase : Duration::zero();
+    const bool is_stalled = node < stalled_nodes_ && phase < kStallDuration;
+    return is_stalled ? kStallDuration - phase : Duration::zero();
   }
 
   void deliver(std::size_t node, Flow& flow, const FlowPacket& packet) {
-    at_hand_ = &flow;
-    caller_at_hand_ = packet.client;
-    asks_ = packet.opens || packet.payload_bytes > 0;
+    current_flow_ = &flow;
+    current_client_ = packet.client;
+    expects_answer_ = packet.opens || packet.payload_bytes > 0;
     nodes_[node]->router.onPacket(packet);
   }
 
-  /** Sends now, then after 0.2, 0.6 and 1.4 s until it is answered or given up. */
-  void attempt(Flow& flow, Duration patience,
-               const std::function<void(std::uint32_t copy)>& send_copy) {
+  /** Transmits now and after 0.2, 0.6 and 1.4 s until the attempt is answered or abandoned. */
+  void attempt(Flow& flow, Duration timeout,
+               const std::function<void(std::uint32_t retransmission)>& transmit) {
     const int attempt = ++flow.attempt;
     const auto unless_answered = [this, &flow, attempt](Duration delay, auto event) {
       after(delay, [&flow, attempt, event] {
@@ -260,39 +265,39 @@
         }
       });
     };
-    unless_answered(patience, [this, &flow] { giveUp(flow); });
-    std::uint32_t copy = 0;
+    unless_answered(timeout, [this, &flow] { abandon(flow); });
+    std::uint32_t retransmission = 0;
     for (const Duration delay : {milliseconds(200), milliseconds(600), milliseconds(1400)}) {
-      ++copy;
-      if (delay < patience) {
-        unless_answered(delay, [send_copy, copy] { send_copy(copy); });
+      ++retransmission;
+      if (delay < timeout) {
+        unless_answered(delay, [transmit, retransmission] { transmit(retransmission); });
       }
     }
-    send_copy(0);
+    transmit(0);
   }
 
   void open(Flow& flow) {
     const int attempts = flow.attempt;
     flow = Flow();
     flow.attempt = attempts;
-    flow.caller = {kClient.address, ++last_port_};
-    attempt(flow, kOpeningPatience, [this, &flow](std::uint32_t copy) {
+    flow.client = {kClient.address, ++last_port_};
+    attempt(flow, kOpeningTimeout, [this, &flow](std::uint32_t retransmission) {
       FlowPacket packet = packetOf(flow);
       packet.opens = true;
-      packet.acknowledged = copy;
+      packet.acknowledged = retransmission;
       send(flow, packet);
     });
   }
 
   void request(Flow& flow) {
-    attempt(flow, kRequestPatience, [this, &flow](std::uint32_t) {
+    attempt(flow, kRequestTimeout, [this, &flow](std::uint32_t) {
       FlowPacket packet = packetOf(flow);
       packet.payload_bytes = 100;
       send(flow, packet);
     });
   }
 
-  void giveUp(Flow& flow) {
+  void abandon(Flow& flow) {
     if (flow.open) {
       FlowPacket packet = packetOf(flow);
       packet.aborts = true;
@@ -302,35 +307,35 @@
   }
 
   void onReset(const FlowPacket& packet) {
-    Flow& flow = *at_hand_;
-    if (packet.client != flow.caller) {
+    Flow& flow = *current_flow_;
+    if (packet.client != flow.client) {
       return;
     }
     if (!packet.opens) {
-      (flow.server == dead_ ? result_.freed : result_.broken) += 1;
+      (flow.backend == dead_ ? result_.correct_resets : result_.wrong_resets) += 1;
     }
     ++flow.attempt;
     after(milliseconds(20), [this, &flow] { open(flow); });
   }
 
   void onForward(BackendId backend, CompactToken token) {
-    Flow& flow = *at_hand_;
-    if (caller_at_hand_ != flow.caller) {
+    Flow& flow = *current_flow_;
+    if (current_client_ != flow.client) {
       return;
     }
-    Server& server = servers_[backend];
+    BackendState& state = backends_[backend];
     if (backend == dead_) {
       result_.lost_openings += flow.open ? 0 : 1;
       return;
     }
-    // A full server says nothing; an opening takes no slot.
-    if (!asks_ || server.present >= kSlots + kQueue) {
+    // An overloaded backend does not answer; an opening takes no slot.
+    if (!expects_answer_ || state.request_count >= kSlots + kQueueLength) {
       return;
     }
     if (!flow.open) {
       flow.open = true;
       flow.token = token;
-      flow.server = backend;
+      flow.backend = backend;
       flow.acknowledged = 1;
       ++flow.attempt;
       after(milliseconds(1), [this, &flow, attempt = flow.attempt] {
@@ -340,19 +345,19 @@
       });
       return;
     }
-    if (flow.taken != flow.attempt) {
-      work(flow, server);
+    if (flow.accepted_attempt != flow.attempt) {
+      process(flow, state);
     }
   }
 
-  void work(Flow& flow, Server& server) {
-    flow.taken = flow.attempt;
-    MonotonicTime& slot = *std::min_element(server.free_at.begin(), server.free_at.end());
-    slot = std::max(slot, time_.monotonicTime()) + scaled(kWork);
-    ++server.present;
-    after(slot - time_.monotonicTime(), [this, &flow, &server, attempt = flow.attempt] {
-      --server.present;
-      if (flow.attempt == attempt && flow.server != dead_) {
+  void process(Flow& flow, BackendState& state) {
+    flow.accepted_attempt = flow.attempt;
+    MonotonicTime& slot = *std::min_element(state.free_at.begin(), state.free_at.end());
+    slot = std::max(slot, time_.monotonicTime()) + scaled(kServiceTime);
+    ++state.request_count;
+    after(slot - time_.monotonicTime(), [this, &flow, &state, attempt = flow.attempt] {
+      --state.request_count;
+      if (flow.attempt == attempt && flow.backend != dead_) {
         onAnswer(flow);
       }
     });
@@ -364,14 +369,14 @@
     flow.sequence += 100;
     flow.acknowledged += 500;
     send(flow, packetOf(flow));
-    after(scaled(kThink), [this, &flow, attempt = flow.attempt] {
+    after(scaled(kThinkTime), [this, &flow, attempt = flow.attempt] {
       if (flow.attempt == attempt) {
         request(flow);
       }
     });
   }
 
-  /** The first node sums for its zone; others report every 100 ms. */
+  /** The first node sums the reports of its zone; the others report every 100 ms. */
   void exchangeEvidence() {
     for (std::uint16_t index = 0; index < kNodes; ++index) {
       if (const auto report = nodes_[index]->reporter.next()) {
@@ -397,15 +402,15 @@
   std::multimap<MonotonicTime, std::function<void()>> events_;
   std::vector<std::unique_ptr<ReplayNode>> nodes_;
   EvidenceCollector collector_;
-  std::map<BackendId, Server> servers_;
+  std::map<BackendId, BackendState> backends_;
   std::vector<Flow> flows_;
   std::size_t stalled_nodes_ = 0;
-  std::array<MonotonicTime, kNodes> woken_at_{};
-  Flow* at_hand_ = nullptr;
-  /** Of the packet at hand; its flow may have been given up meanwhile. */
-  Endpoint caller_at_hand_;
-  /** The packet at hand wants an answer. */
-  bool asks_ = false;
+  std::array<MonotonicTime, kNodes> resumed_at_{};
+  Flow* current_flow_ = nullptr;
+  /** Client of the current packet; its flow may have been abandoned meanwhile. */
+  Endpoint current_client_;
+  /** The current packet requires an answer. */
+  bool expects_answer_ = false;
   std::uint16_t last_port_ = 0;
   BackendId dead_;
   Result result_;
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -86,7 +86,7 @@
                             time, *random};
   FlowDecider decider{FlowDeciderSettings(), time, placement, *this};
   FlowObserver observer{FlowObserverSettings{65536}, time};
-  SilenceDetector silence{SilenceSettings(), time, log};
+  SilenceDetector silence{SilenceDetectorSettings(), time, log};
   CompactTokenCodec tokens{CompactTokenKey{9, 9, 9}};
   PacketRouter router{decider, silence, observer, tokens, *this, *this, log};
   Reason blocked_by = Reason::None;
@@ -265,7 +265,7 @@
   const bool slow_before = GENERATE(false, true);
   if (slow_before) {
     // A healthy backend has answered after as many retransmissions, so they are no evidence.
-    harness.silence.onLife(BackendId(20), 2);
+    harness.silence.onProgress(BackendId(20), 2);
   }
   for (const int wait_ms : {0, 200}) {
     harness.time.elapsed += milliseconds(wait_ms);
@@ -488,7 +488,7 @@
   harness.data(1, token, 1301, 900);
   CHECK(harness.responses == std::vector<Duration>{milliseconds(50), milliseconds(7)});
   CHECK(harness.requests == 3);
-  CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Late));
+  CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Delayed));
 }
 
 TEST_CASE("the response time of a retransmitted request is marked as repeated", "[packet_router]") {
@@ -500,7 +500,7 @@
   harness.time.elapsed += milliseconds(20);
   harness.data(1, token, 1101, 600);
   REQUIRE(harness.responses.size() == 1);
-  CHECK(harness.timings == std::vector<ResponseTiming>{ResponseTiming::Repeated});
+  CHECK(harness.timings == std::vector<ResponseTiming>{ResponseTiming::Retransmitted});
 }
 
 TEST_CASE("the duration of a handshake is measured", "[packet_router]") {
--- a/tests/flow/placement_engine_test.cc
+++ b/tests/flow/placement_engine_test.cc
@@ -81,7 +81,7 @@
   const Row rows[] = {
       {"unreachable", [](PlacementHarness& harness) { harness.reportUnreachable(1); }},
       {"reported draining in a refusal",
-       [](PlacementHarness& harness) { harness.loads.onDrainingSeen(BackendId(1)); }},
+       [](PlacementHarness& harness) { harness.loads.onDrainingRefusal(BackendId(1)); }},
       {"refused recently",
        [](PlacementHarness& harness) { harness.loads.onRefusal(BackendId(1), seconds(1)); }},
       {"reported full", [](PlacementHarness& harness) { harness.report(1, 2, 14); }},
@@ -159,7 +159,7 @@
   harness.time.elapsed += seconds(1);
   harness.report(1, 0);
   CHECK(harness.placeMany(100).count(1) == 1);
-  harness.loads.onDrainingSeen(BackendId(1));
+  harness.loads.onDrainingRefusal(BackendId(1));
   harness.engine.invalidateCandidates();
   harness.time.elapsed += seconds(1);
   harness.report(1, 0);
@@ -254,7 +254,7 @@
           }
           break;
         case 3:
-          harness.loads.onDrainingSeen(backend.id);
+          harness.loads.onDrainingRefusal(backend.id);
           break;
         default:
           harness.time.elapsed += milliseconds(step);
@@ -265,7 +265,7 @@
         continue;
       }
       RC_ASSERT(chosen.value()->zone == kLac);
-      RC_ASSERT(!harness.loads.isLeaving(*chosen.value()));
+      RC_ASSERT(!harness.loads.isDraining(*chosen.value()));
     }
     std::size_t candidates = 0;
     std::size_t ejected = 0;
