--- a/src/discovery/view_client.cc
+++ b/src/discovery/view_client.cc
@@ -15,7 +15,7 @@
       random_(random),
       started_at_(time_source.monotonicTime()) {}
 
-void ViewClient::readView(Endpoint peer, Revision after, Duration patience, ViewCallback callback) {
+void ViewClient::readView(Endpoint peer, Revision after, Duration timeout, ViewCallback callback) {
   const std::uint64_t id = random_.next();
   PendingView pending;
   pending.peer = {peer.address, port_};
@@ -24,14 +24,14 @@
   pending.request.link = self_.link;
   pending.request.after = after;
   pending.callback = std::move(callback);
-  pending.silent_at = time_source_.monotonicTime() + patience;
-  pending.patience = patience;
+  pending.deadline = time_source_.monotonicTime() + timeout;
+  pending.timeout = timeout;
   if (after == 0) {
-    pending.assembly = std::exchange(unfinished_, ViewAssembly());
+    pending.assembly = std::exchange(partial_assembly_, ViewAssembly());
   }
   resend(pending);
   views_.insert_or_assign(id, std::move(pending));
-  checkLater(id);
+  scheduleCheck(id);
 }
 
 void ViewClient::exchangePeers(Endpoint peer, PeersCallback callback) {
@@ -39,7 +39,7 @@
   const Endpoint to{peer.address, port_};
   exchanges_.insert_or_assign(id, PendingExchange{to, std::move(callback)});
   send_(to, PeersRequest{id, self_});
-  scheduler_.callAfter(settings_.exchange_patience, [this, id] {
+  scheduler_.callAfter(settings_.exchange_timeout, [this, id] {
     if (const auto found = exchanges_.extract(id)) {
       found.mapped().callback(SourceError::NoAnswer);
     }
@@ -61,7 +61,7 @@
   }
   pending->has_progress = true;
   pending->has_parts = true;
-  pending->silent_at = time_source_.monotonicTime() + pending->patience;
+  pending->deadline = time_source_.monotonicTime() + pending->timeout;
   if (pending->assembly.isComplete()) {
     finish(*pending);
     return;
@@ -76,13 +76,13 @@
 
 void ViewClient::requestMore(const PendingView& pending, std::uint32_t last_part) {
   const std::uint32_t window = last_part / kPartsInRequest;
-  const std::uint32_t place = last_part % kPartsInRequest;
+  const std::uint32_t offset = last_part % kPartsInRequest;
   const bool is_last = last_part + 1 == pending.assembly.parts();
-  if (place == kPartsInRequest / 2 - 1) {
+  if (offset == kPartsInRequest / 2 - 1) {
     // Half of a window is there: the next one is asked for, so that the sender never waits.
     requestMissing(pending, window + 1);
   }
-  if ((place == kPartsInRequest / 2 - 1 || is_last) && window > 0) {
+  if ((offset == kPartsInRequest / 2 - 1 || is_last) && window > 0) {
     // What is still missing of the window before was lost on its way.
     requestMissing(pending, window - 1);
   }
@@ -127,23 +127,24 @@
     const MonotonicTime now = time_source_.monotonicTime();
     const bool is_first = !std::exchange(pending->is_queued, true);
     if (is_first || refusal.status.serves_view) {
-      pending->silent_at = now + queuedPatience(*pending);
+      pending->deadline = now + queuedTimeout(*pending);
     }
-    pending->renew_at = now + settings_.queued_renewal;
+    pending->renew_at = now + settings_.queue_renewal_interval;
     return;
   }
   if (refusal.status.serves_view && !refusal.others.empty()) {
-    referred_to_ = {refusal.others.front().address, port_};
+    last_referral_ = {refusal.others.front().address, port_};
   }
   const SourceError cause =
       refusal.status.serves_view ? SourceError::Throttled : SourceError::Unavailable;
   fail(refusal.request, {cause, refusal.others});
 }
 
-Duration ViewClient::queuedPatience(const PendingView& pending) const {
-  const bool has_just_started = time_source_.monotonicTime() - started_at_ < settings_.fleet_start;
-  const bool is_promised = has_just_started || pending.peer == referred_to_;
-  return is_promised ? settings_.promised_patience : settings_.queued_patience;
+Duration ViewClient::queuedTimeout(const PendingView& pending) const {
+  const bool is_fleet_starting =
+      time_source_.monotonicTime() - started_at_ < settings_.fleet_start_window;
+  const bool is_view_expected = is_fleet_starting || pending.peer == last_referral_;
+  return is_view_expected ? settings_.expected_view_timeout : settings_.queued_timeout;
 }
 
 void ViewClient::onPeersReply(const PeersReply& reply, Endpoint from) {
@@ -156,8 +157,8 @@
   callback(reply.peers);
 }
 
-void ViewClient::checkLater(std::uint64_t id) {
-  scheduler_.callAfter(settings_.resend_after, [this, id] { check(id); });
+void ViewClient::scheduleCheck(std::uint64_t id) {
+  scheduler_.callAfter(settings_.resend_interval, [this, id] { check(id); });
 }
 
 void ViewClient::check(std::uint64_t id) {
@@ -166,19 +167,19 @@
     return;
   }
   PendingView& pending = found->second;
-  if (time_source_.monotonicTime() >= pending.silent_at) {
-    const bool gave_a_sign = pending.is_queued || pending.has_parts;
-    fail(id, {gave_a_sign ? SourceError::Unavailable : SourceError::NoAnswer, {}});
+  if (time_source_.monotonicTime() >= pending.deadline) {
+    const bool has_responded = pending.is_queued || pending.has_parts;
+    fail(id, {has_responded ? SourceError::Unavailable : SourceError::NoAnswer, {}});
     return;
   }
-  const bool waits = pending.is_queued && !pending.has_parts;
-  const bool is_due = waits ? time_source_.monotonicTime() >= pending.renew_at
-                            : !std::exchange(pending.has_progress, false);
+  const bool is_waiting = pending.is_queued && !pending.has_parts;
+  const bool is_due = is_waiting ? time_source_.monotonicTime() >= pending.renew_at
+                                 : !std::exchange(pending.has_progress, false);
   if (is_due) {
-    pending.renew_at = time_source_.monotonicTime() + settings_.queued_renewal;
+    pending.renew_at = time_source_.monotonicTime() + settings_.queue_renewal_interval;
     resend(pending);
   }
-  checkLater(id);
+  scheduleCheck(id);
 }
 
 void ViewClient::resend(PendingView& pending) {
@@ -193,9 +194,9 @@
   auto found = views_.extract(id);
   PendingView& pending = found.mapped();
   // Of a body that never fits its hash the next sender would be asked for no part at all.
-  const bool may_go_on = pending.assembly.hasBegun() && !pending.assembly.hasAllParts();
-  if (pending.request.after == 0 && may_go_on) {
-    unfinished_ = std::move(pending.assembly);
+  const bool can_resume = pending.assembly.hasBegun() && !pending.assembly.hasAllParts();
+  if (pending.request.after == 0 && can_resume) {
+    partial_assembly_ = std::move(pending.assembly);
   }
   pending.callback(std::move(refusal));
 }
--- a/src/discovery/view_client.h
+++ b/src/discovery/view_client.h
@@ -11,23 +11,23 @@
 /** Times of a ViewClient. */
 struct ViewClientSettings {
   /** A request is sent again, or for the missing parts, where nothing came for so long. */
-  Duration resend_after = milliseconds(60);
+  Duration resend_interval = milliseconds(60);
   /**
    * Time for which a request that the peer has queued is left with it. Each sign that a peer with a
    * view keeps it begins it anew; one without a view may never get one.
    */
-  Duration queued_patience = milliseconds(200);
+  Duration queued_timeout = milliseconds(200);
   /**
    * The same where the peer will surely have a view: another one has named it, or the fleet has
    * just started and all seeds read the store. At most ViewProviderSettings::queue_lifetime.
    */
-  Duration promised_patience = milliseconds(500);
+  Duration expected_view_timeout = milliseconds(500);
   /** Time after the start for which that holds. */
-  Duration fleet_start = milliseconds(1000);
+  Duration fleet_start_window = milliseconds(1000);
   /** Who is queued asks again after so long, so that it keeps its place there. */
-  Duration queued_renewal = milliseconds(150);
+  Duration queue_renewal_interval = milliseconds(150);
   /** Time without an answer after which an exchange of peers has failed. */
-  Duration exchange_patience = milliseconds(450);
+  Duration exchange_timeout = milliseconds(450);
 };
 
 /** Reads other balancers' views by datagrams: requests, resends, and what was put together. */
@@ -43,7 +43,7 @@
              Scheduler& scheduler, const TimeSource& time_source, RandomGenerator& random);
 
   /** @param peer the balancer's control address. */
-  void readView(Endpoint peer, Revision after, Duration patience, ViewCallback callback) override;
+  void readView(Endpoint peer, Revision after, Duration timeout, ViewCallback callback) override;
   void exchangePeers(Endpoint peer, PeersCallback callback) override;
 
   /** Gets each whole view as it was told, before this balancer has made it its own. */
@@ -65,8 +65,8 @@
     ViewCallback callback;
     ViewAssembly assembly;
     /** Time at which the peer counts as silent unless it gives a sign. */
-    MonotonicTime silent_at;
-    Duration patience{};
+    MonotonicTime deadline;
+    Duration timeout{};
     bool is_queued = false;
     /** When a queued request is sent again. */
     MonotonicTime renew_at;
@@ -80,7 +80,7 @@
     PeersCallback callback;
   };
 
-  void checkLater(std::uint64_t id);
+  void scheduleCheck(std::uint64_t id);
   void check(std::uint64_t id);
   /** Asks for what comes next, and for what was lost on the way, as a part's place shows it. */
   void requestMore(const PendingView& pending, std::uint32_t last_part);
@@ -89,7 +89,7 @@
   /** Asks again for what is missing. */
   void resend(PendingView& pending);
   void fail(std::uint64_t id, PeerRefusal refusal);
-  Duration queuedPatience(const PendingView& pending) const;
+  Duration queuedTimeout(const PendingView& pending) const;
   PendingView* findPending(std::uint64_t id, Endpoint from);
 
   const ViewClientSettings settings_;
@@ -97,7 +97,7 @@
   const std::uint16_t port_;
   const Send send_;
   /** The balancer that a peer with a view has named last. */
-  Endpoint referred_to_;
+  Endpoint last_referral_;
   Scheduler& scheduler_;
   const TimeSource& time_source_;
   RandomGenerator& random_;
@@ -106,7 +106,7 @@
   std::unordered_map<std::uint64_t, PendingExchange> exchanges_;
   BodyCallback on_whole_view_;
   /** Parts of a whole view whose sender failed; another one may have the rest of the same body. */
-  ViewAssembly unfinished_;
+  ViewAssembly partial_assembly_;
   std::uint64_t malformed_bodies_ = 0;
 };
 
--- a/src/discovery/view_provider.cc
+++ b/src/discovery/view_provider.cc
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
 /** Balancers with a view to which those that wait for this one's are sent. */
-constexpr std::size_t kReferralsInQueue = 2;
+constexpr std::size_t kReferralsPerRefusal = 2;
 
 }  // namespace
 
@@ -24,21 +24,21 @@
       send_(std::move(send)),
       started_at_(time_source.monotonicTime()),
       plan_(settings.spread, settings.link_bytes_per_s, time_source),
-      copies_(settings.copies, settings.link_bytes_per_s, time_source) {}
+      copy_queue_(settings.copy_queue, settings.link_bytes_per_s, time_source) {}
 
 void ViewProvider::onRequest(const ViewRequest& request, Endpoint reply_to) {
   directory_.onShown({request.from, request.link});
-  const bool shows_view = request.after != 0;
-  if (shows_view) {
+  const bool has_view = request.after != 0;
+  if (has_view) {
     directory_.onShowsView(request.from);
   }
   // An adopted view has no history: changes can only be told of the own one.
-  const bool can_answer = shows_view ? owner_.viewStatus().serves_view : status().serves_view;
+  const bool can_answer = has_view ? owner_.viewStatus().serves_view : status().serves_view;
   if (!can_answer) {
     enqueue(request, reply_to);
     return;
   }
-  if (shows_view) {
+  if (has_view) {
     answerChanges(request, reply_to);
   } else {
     answerWholeView({request, reply_to});
@@ -81,30 +81,30 @@
 
 void ViewProvider::answerQueue() {
   const MonotonicTime now = time_source_.monotonicTime();
-  std::vector<ViewCopies::Receiver> receivers;
+  std::vector<ViewCopyQueue::Receiver> receivers;
   for (const auto& [reply_to, queued] : std::exchange(queue_, {})) {
-    if (now - queued.asked_at <= settings_.queue_lifetime) {
+    if (now - queued.requested_at <= settings_.queue_ttl) {
       receivers.push_back(queued.receiver);
     }
   }
   // Strong links first: they carry the copies of the others.
   std::sort(receivers.begin(), receivers.end(), [](const auto& left, const auto& right) {
-    const bool is_alike = left.request.link == right.request.link;
-    return is_alike ? left.reply_to < right.reply_to : left.request.link > right.request.link;
+    const bool is_same_link = left.request.link == right.request.link;
+    return is_same_link ? left.reply_to < right.reply_to : left.request.link > right.request.link;
   });
-  for (const ViewCopies::Receiver& receiver : receivers) {
+  for (const ViewCopyQueue::Receiver& receiver : receivers) {
     planCopy(receiver);
   }
-  beginCopies();
+  startCopies();
 }
 
 void ViewProvider::enqueue(const ViewRequest& request, Endpoint reply_to) {
   const MonotonicTime now = time_source_.monotonicTime();
   const bool was_queued = queue_.contains(reply_to);
-  std::vector<Endpoint> others = directory_.withView(kReferralsInQueue);
-  const bool may_wait = others.empty() || now - started_at_ < settings_.hold_at_start;
-  const bool has_room = was_queued || queue_.size() < settings_.max_queued;
-  const bool is_queued = request.after == 0 && may_wait && has_room;
+  std::vector<Endpoint> others = directory_.withView(kReferralsPerRefusal);
+  const bool may_queue = others.empty() || now - started_at_ < settings_.referral_startup_delay;
+  const bool has_room = was_queued || queue_.size() < settings_.max_queued_requests;
+  const bool is_queued = request.after == 0 && may_queue && has_room;
   if (is_queued) {
     queue_[reply_to] = {{request, reply_to}, now};
     counters_.queued += was_queued ? 0 : 1;
@@ -115,103 +115,104 @@
   send_(reply_to, ViewRefusal{request.request, status(), is_queued, others});
 }
 
-void ViewProvider::answerWholeView(const ViewCopies::Receiver& receiver) {
+void ViewProvider::answerWholeView(const ViewCopyQueue::Receiver& receiver) {
   const ViewRequest& request = receiver.request;
-  if (const WholeBodyPtr body = copies_.find(request, receiver.reply_to)) {
+  if (const WholeBodyPtr body = copy_queue_.findBody(request, receiver.reply_to)) {
     continueCopy(receiver, *body);
-    beginCopies();
+    startCopies();
     return;
   }
-  const auto referred = referred_.find(receiver.reply_to);
-  if (referred != referred_.end() && referred->second.request == request.request) {
-    refer(request, receiver.reply_to, referred->second.sender);
+  const auto referral = referrals_.find(receiver.reply_to);
+  if (referral != referrals_.end() && referral->second.request == request.request) {
+    refer(request, receiver.reply_to, referral->second.sender);
     return;
   }
-  const bool was_waiting = copies_.isWaiting(receiver.reply_to);
+  const bool was_waiting = copy_queue_.isWaiting(receiver.reply_to);
   if (was_waiting) {
-    copies_.wait(receiver);
+    copy_queue_.enqueue(receiver);
   } else {
     planCopy(receiver);
   }
-  beginCopies();
-  if (copies_.isWaiting(receiver.reply_to)) {
+  startCopies();
+  if (copy_queue_.isWaiting(receiver.reply_to)) {
     counters_.queued += was_waiting ? 0 : 1;
     send_(receiver.reply_to, ViewRefusal{request.request, status(), true, {}});
   }
 }
 
-void ViewProvider::planCopy(const ViewCopies::Receiver& receiver) {
+void ViewProvider::planCopy(const ViewCopyQueue::Receiver& receiver) {
   const ViewRequest& request = receiver.request;
-  copies_.forget(receiver.reply_to);
-  const Endpoint sender = plan_.choose({request.from, request.link}, wholeBody()->bytes.size());
+  copy_queue_.remove(receiver.reply_to);
+  const Endpoint sender =
+      plan_.assignSender({request.from, request.link}, wholeBody()->bytes.size());
   if (sender.isSet()) {
-    if (referred_.size() >= settings_.max_queued) {
-      referred_.clear();
+    if (referrals_.size() >= settings_.max_queued_requests) {
+      referrals_.clear();
     }
-    referred_[receiver.reply_to] = {request.request, sender};
+    referrals_[receiver.reply_to] = {request.request, sender};
     refer(request, receiver.reply_to, sender);
-  } else if (!copies_.wait(receiver)) {
+  } else if (!copy_queue_.enqueue(receiver)) {
     refer(request, receiver.reply_to, Endpoint());
   }
 }
 
-void ViewProvider::beginCopies() {
+void ViewProvider::startCopies() {
   while (backlog() <= settings_.max_backlog) {
-    const auto receiver = copies_.next();
+    const auto receiver = copy_queue_.takeNext();
     if (!receiver) {
       break;
     }
     const WholeBodyPtr body = wholeBody();
     ++counters_.whole_views;
-    referred_.erase(receiver->reply_to);
-    copies_.begin(*receiver, body);
+    referrals_.erase(receiver->reply_to);
+    copy_queue_.start(*receiver, body);
     continueCopy(*receiver, *body);
   }
-  if (copies_.hasWaiting() && !std::exchange(begins_later_, true)) {
-    scheduler_.callAfter(settings_.begin_interval, [this] {
-      begins_later_ = false;
-      beginCopies();
+  if (copy_queue_.hasWaiting() && !std::exchange(retry_scheduled_, true)) {
+    scheduler_.callAfter(settings_.copy_retry_interval, [this] {
+      retry_scheduled_ = false;
+      startCopies();
     });
   }
 }
 
-void ViewProvider::continueCopy(const ViewCopies::Receiver& receiver, const WholeBody& body) {
+void ViewProvider::continueCopy(const ViewCopyQueue::Receiver& receiver, const WholeBody& body) {
   const ViewRequest& request = receiver.request;
   sendParts(request, statusOf(body), body.bytes, body.hash, receiver.reply_to);
   const bool is_same_body = request.body_hash == body.hash;
   const std::uint64_t end = std::uint64_t{is_same_body ? request.first_part : 0} + kPartsInRequest;
-  copies_.onAsked(receiver.reply_to,
-                  end >= partCount(static_cast<std::uint32_t>(body.bytes.size())));
+  copy_queue_.onRequested(receiver.reply_to,
+                          end >= partCount(static_cast<std::uint32_t>(body.bytes.size())));
 }
 
 void ViewProvider::answerChanges(const ViewRequest& request, Endpoint reply_to) {
-  const bool continues = request.body_hash != 0;
-  auto known = owner_.view().changesAfter(request.after);
-  if (!known) {
+  const bool is_continuation = request.body_hash != 0;
+  auto recent = owner_.view().changesAfter(request.after);
+  if (!recent) {
     refuseChanges(request, reply_to);
     return;
   }
   const Bytes body =
-      encodeViewBody({std::move(known->changes), std::max(request.after, known->at), false, {}});
+      encodeViewBody({std::move(recent->changes), std::max(request.after, recent->at), false, {}});
   const bool is_large = partCount(static_cast<std::uint32_t>(body.size())) > 1;
-  if (!continues && is_large && backlog() > settings_.max_backlog) {
-    refer(request, reply_to, nextReferral(request.from));
+  if (!is_continuation && is_large && backlog() > settings_.max_backlog) {
+    refer(request, reply_to, nextRecentReceiver(request.from));
     return;
   }
   sendParts(request, status(), body, hashOfBody(body), reply_to);
-  if (!continues) {
+  if (!is_continuation) {
     ++counters_.changes;
   }
-  if (!continues && is_large) {
-    addReferral(request.from);
+  if (!is_continuation && is_large) {
+    addRecentReceiver(request.from);
   }
 }
 
 void ViewProvider::refuseChanges(const ViewRequest& request, Endpoint reply_to) {
   ++counters_.history_unknown;
-  ViewStatus nothing = status();
-  nothing.serves_view = false;
-  send_(reply_to, ViewRefusal{request.request, nothing, false, {}});
+  ViewStatus no_view = status();
+  no_view.serves_view = false;
+  send_(reply_to, ViewRefusal{request.request, no_view, false, {}});
 }
 
 WholeBodyPtr ViewProvider::wholeBody() {
@@ -219,9 +220,8 @@
     return whole_body_;
   }
   const MonotonicTime now = time_source_.monotonicTime();
-  const bool is_usable =
-      whole_body_ != nullptr && now - whole_body_->made_at <= settings_.body_lifetime;
-  if (!is_usable) {
+  const bool is_valid = whole_body_ != nullptr && now - whole_body_->made_at <= settings_.body_ttl;
+  if (!is_valid) {
     const ItemView& view = owner_.view();
     ViewBody content{{}, view.position(), true, directory_.toTell(kMaxPeersInMessage)};
     for (Item& item : view.page("", ItemView::kNoLimit).items) {
@@ -247,8 +247,9 @@
       continue;
     }
     const auto begin = body.begin() + static_cast<std::ptrdiff_t>(part * kPartBytes);
-    const auto left = static_cast<std::size_t>(body.end() - begin);
-    const auto end = begin + static_cast<std::ptrdiff_t>(std::min<std::size_t>(kPartBytes, left));
+    const auto remaining = static_cast<std::size_t>(body.end() - begin);
+    const auto end =
+        begin + static_cast<std::ptrdiff_t>(std::min<std::size_t>(kPartBytes, remaining));
     send_(reply_to, ViewPart{request.request, body_status, hash, body_bytes,
                              static_cast<std::uint32_t>(part), Bytes(begin, end)});
     addToBacklog(static_cast<std::size_t>(end - begin));
@@ -264,11 +265,12 @@
   send_(reply_to, refusal);
 }
 
-Endpoint ViewProvider::nextReferral(Endpoint asking) {
-  forgetReferrals();
-  for (std::size_t count = 0; count < referrals_.size(); ++count) {
-    const Endpoint balancer = referrals_[next_referral_++ % referrals_.size()].balancer;
-    if (balancer != asking) {
+Endpoint ViewProvider::nextRecentReceiver(Endpoint requester) {
+  expireRecentReceivers();
+  for (std::size_t count = 0; count < recent_receivers_.size(); ++count) {
+    const Endpoint balancer =
+        recent_receivers_[next_recent_receiver_++ % recent_receivers_.size()].balancer;
+    if (balancer != requester) {
       return balancer;
     }
   }
@@ -281,22 +283,24 @@
 
 void ViewProvider::addToBacklog(std::size_t bytes) {
   counters_.bytes += bytes;
-  const Duration sending(bytes * kMicrosecondsPerSecond / settings_.link_bytes_per_s);
-  link_busy_until_ = std::max(link_busy_until_, time_source_.monotonicTime()) + sending;
+  const Duration send_duration(bytes * kMicrosecondsPerSecond / settings_.link_bytes_per_s);
+  link_busy_until_ = std::max(link_busy_until_, time_source_.monotonicTime()) + send_duration;
 }
 
-void ViewProvider::addReferral(Endpoint balancer) {
-  std::erase_if(referrals_, [&](const Referral& known) { return known.balancer == balancer; });
-  referrals_.push_back({balancer, time_source_.monotonicTime()});
-  if (referrals_.size() > settings_.max_referrals) {
-    referrals_.pop_front();
+void ViewProvider::addRecentReceiver(Endpoint balancer) {
+  std::erase_if(recent_receivers_,
+                [&](const RecentReceiver& receiver) { return receiver.balancer == balancer; });
+  recent_receivers_.push_back({balancer, time_source_.monotonicTime()});
+  if (recent_receivers_.size() > settings_.max_recent_receivers) {
+    recent_receivers_.pop_front();
   }
 }
 
-void ViewProvider::forgetReferrals() {
+void ViewProvider::expireRecentReceivers() {
   const MonotonicTime now = time_source_.monotonicTime();
-  while (!referrals_.empty() && now - referrals_.front().since > settings_.referral_lifetime) {
-    referrals_.pop_front();
+  while (!recent_receivers_.empty() &&
+         now - recent_receivers_.front().received_at > settings_.recent_receiver_ttl) {
+    recent_receivers_.pop_front();
   }
 }
 
--- a/src/discovery/view_provider.h
+++ b/src/discovery/view_provider.h
@@ -7,7 +7,7 @@
 #include "common/scheduler.h"
 #include "discovery/item_view.h"
 #include "discovery/peer_directory.h"
-#include "discovery/view_copies.h"
+#include "discovery/view_copy_queue.h"
 #include "discovery/view_spread_plan.h"
 
 namespace lugfork {
@@ -23,28 +23,28 @@
    */
   Duration max_backlog = milliseconds(30);
   /** Requests that wait for this balancer's first view at most (some tens of bytes each). */
-  std::size_t max_queued = 1024;
+  std::size_t max_queued_requests = 1024;
   /** Time after which who asked has turned to another balancer (ViewClientSettings). */
-  Duration queue_lifetime = milliseconds(500);
+  Duration queue_ttl = milliseconds(500);
   /**
    * Time for which an encoded view is used again: to make it anew takes some tens of milliseconds
    * of a small machine's processor, and who gets it polls for what has changed since.
    */
-  Duration body_lifetime = milliseconds(500);
+  Duration body_ttl = milliseconds(500);
   /**
    * Time after this balancer's start in which nobody who waits for its first view is sent to
    * another one that shows a view: all seeds read the store at once, and the first one to have it
    * shall not be sent the whole fleet.
    */
-  Duration hold_at_start = milliseconds(600);
+  Duration referral_startup_delay = milliseconds(600);
   /** Time after which is looked again whether the link has room for those that wait. */
-  Duration begin_interval = milliseconds(10);
+  Duration copy_retry_interval = milliseconds(10);
   ViewSpreadSettings spread;
-  ViewCopiesSettings copies;
+  ViewCopyQueueSettings copy_queue;
   /** Balancers that got a view lately, to which others are sent. */
-  std::size_t max_referrals = 4;
+  std::size_t max_recent_receivers = 4;
   /** Time for which a balancer that got a view counts as one of these. */
-  Duration referral_lifetime = seconds(2);
+  Duration recent_receiver_ttl = seconds(2);
 };
 
 /** The view that a ViewProvider hands out. */
@@ -97,18 +97,18 @@
   const ViewProviderCounters& counters() const { return counters_; }
 
  private:
-  struct Queued {
-    ViewCopies::Receiver receiver;
-    MonotonicTime asked_at;
+  struct QueuedRequest {
+    ViewCopyQueue::Receiver receiver;
+    MonotonicTime requested_at;
   };
   /** Where a receiver was sent: it is told the same again where that message was lost. */
-  struct Referred {
+  struct Referral {
     std::uint64_t request = 0;
     Endpoint sender;
   };
-  struct Referral {
+  struct RecentReceiver {
     Endpoint balancer;
-    MonotonicTime since;
+    MonotonicTime received_at;
   };
 
   /** @return the own view's status, or that of an adopted one. */
@@ -117,11 +117,11 @@
   ViewStatus statusOf(const WholeBody& body) const;
   void answerQueue();
   void enqueue(const ViewRequest& request, Endpoint reply_to);
-  void answerWholeView(const ViewCopies::Receiver& receiver);
-  void continueCopy(const ViewCopies::Receiver& receiver, const WholeBody& body);
-  void planCopy(const ViewCopies::Receiver& receiver);
+  void answerWholeView(const ViewCopyQueue::Receiver& receiver);
+  void continueCopy(const ViewCopyQueue::Receiver& receiver, const WholeBody& body);
+  void planCopy(const ViewCopyQueue::Receiver& receiver);
   /** Begins copies as far as the link has room, and again a little later while others wait. */
-  void beginCopies();
+  void startCopies();
   WholeBodyPtr wholeBody();
 
   /**
@@ -134,12 +134,12 @@
                  std::uint64_t hash, Endpoint reply_to);
   void refer(const ViewRequest& request, Endpoint reply_to, Endpoint other);
   /** @return one of those that have just got a large change; unset where there is none. */
-  Endpoint nextReferral(Endpoint asking);
+  Endpoint nextRecentReceiver(Endpoint requester);
   /** @return time until the link has sent what was handed to it. */
   Duration backlog() const;
   void addToBacklog(std::size_t bytes);
-  void addReferral(Endpoint balancer);
-  void forgetReferrals();
+  void addRecentReceiver(Endpoint balancer);
+  void expireRecentReceivers();
 
   const ViewProviderSettings settings_;
   const ViewOwner& owner_;
@@ -149,13 +149,13 @@
   const Send send_;
   const MonotonicTime started_at_;
   /** Who waits for the first view of this balancer; later ones wait in the copies' queue. */
-  std::unordered_map<Endpoint, Queued> queue_;
+  std::unordered_map<Endpoint, QueuedRequest> queue_;
   ViewSpreadPlan plan_;
-  ViewCopies copies_;
-  std::unordered_map<Endpoint, Referred> referred_;
-  bool begins_later_ = false;
-  std::deque<Referral> referrals_;
-  std::size_t next_referral_ = 0;
+  ViewCopyQueue copy_queue_;
+  std::unordered_map<Endpoint, Referral> referrals_;
+  bool retry_scheduled_ = false;
+  std::deque<RecentReceiver> recent_receivers_;
+  std::size_t next_recent_receiver_ = 0;
   MonotonicTime link_busy_until_;
   /** The whole view as last encoded or adopted; nullptr for none. */
   WholeBodyPtr whole_body_;
--- a/src/discovery/view_spread_plan.cc
+++ b/src/discovery/view_spread_plan.cc
@@ -23,30 +23,33 @@
 
 std::uint64_t bytesPerSecondOf(LinkClass link) {
   // The middle of the class, which reaches from one power of two to the next.
-  const std::uint64_t least = kBytesPerMegabit << std::min(link, kMaxLinkClass);
-  return least + least * 2 / 5;
+  const std::uint64_t min_bytes_per_s = kBytesPerMegabit << std::min(link, kMaxLinkClass);
+  return min_bytes_per_s + min_bytes_per_s * 2 / 5;
 }
 
-ViewSpreadPlan::ViewSpreadPlan(ViewSpreadSettings settings, std::uint64_t own_bytes_per_s,
+ViewSpreadPlan::ViewSpreadPlan(ViewSpreadSettings settings, std::uint64_t local_bytes_per_s,
                                const TimeSource& time_source)
-    : settings_(settings), own_bytes_per_s_(shareOf(own_bytes_per_s)), time_source_(time_source) {}
+    : settings_(settings),
+      local_bytes_per_s_(copyRateOf(local_bytes_per_s)),
+      time_source_(time_source) {}
 
-std::uint64_t ViewSpreadPlan::shareOf(std::uint64_t bytes_per_s) const {
-  return static_cast<std::uint64_t>(settings_.link_share * static_cast<double>(bytes_per_s));
+std::uint64_t ViewSpreadPlan::copyRateOf(std::uint64_t bytes_per_s) const {
+  return static_cast<std::uint64_t>(settings_.link_fraction * static_cast<double>(bytes_per_s));
 }
 
-Endpoint ViewSpreadPlan::choose(const KnownPeer& receiver, std::size_t copy_bytes) {
-  forgetOld();
-  const bool comes_again = senders_.contains(receiver.address);
-  if (comes_again) {
+Endpoint ViewSpreadPlan::assignSender(const KnownPeer& receiver, std::size_t copy_bytes) {
+  expireSenders();
+  const bool is_repeated = senders_.contains(receiver.address);
+  if (is_repeated) {
     remove(senders_.at(receiver.address).served_by);
     remove(receiver.address);
   }
-  const Choice own = choiceOf(Endpoint(), own_free_at_, own_bytes_per_s_, receiver, copy_bytes);
-  const Choice choice = comes_again ? own : std::min(own, bestOther(receiver, copy_bytes));
-  occupy(choice.sender, copy_bytes);
-  add(receiver.address, {receiver.link, choice.finish + settings_.hop, choice.sender});
-  by_age_.emplace_back(time_source_.monotonicTime(), receiver.address);
+  const Choice local =
+      choiceOf(Endpoint(), local_free_at_, local_bytes_per_s_, receiver, copy_bytes);
+  const Choice choice = is_repeated ? local : std::min(local, bestPeer(receiver, copy_bytes));
+  reserveLink(choice.sender, copy_bytes);
+  add(receiver.address, {receiver.link, choice.finish + settings_.relay_delay, choice.sender});
+  by_insertion_.emplace_back(time_source_.monotonicTime(), receiver.address);
   return choice.sender;
 }
 
@@ -59,53 +62,53 @@
   return {begin + copyTime(copy_bytes, rate), sender};
 }
 
-ViewSpreadPlan::Choice ViewSpreadPlan::bestOther(const KnownPeer& receiver,
-                                                 std::size_t copy_bytes) const {
+ViewSpreadPlan::Choice ViewSpreadPlan::bestPeer(const KnownPeer& receiver,
+                                                std::size_t copy_bytes) const {
   Choice best{MonotonicTime::max(), Endpoint()};
-  for (const auto& [link, senders] : free_senders_) {
+  for (const auto& [link, senders] : senders_by_link_) {
     const auto& [free_at, balancer] = *senders.begin();
-    best = std::min(
-        best, choiceOf(balancer, free_at, shareOf(bytesPerSecondOf(link)), receiver, copy_bytes));
+    best = std::min(best, choiceOf(balancer, free_at, copyRateOf(bytesPerSecondOf(link)), receiver,
+                                   copy_bytes));
   }
   return best;
 }
 
-void ViewSpreadPlan::occupy(Endpoint balancer, std::size_t copy_bytes) {
+void ViewSpreadPlan::reserveLink(Endpoint balancer, std::size_t copy_bytes) {
   const MonotonicTime now = time_source_.monotonicTime();
   if (!balancer.isSet()) {
-    own_free_at_ = std::max(now, own_free_at_) + sendingTime(copy_bytes, own_bytes_per_s_);
+    local_free_at_ = std::max(now, local_free_at_) + sendingTime(copy_bytes, local_bytes_per_s_);
     return;
   }
   Sender sender = senders_.at(balancer);
   sender.free_at = std::max(now, sender.free_at) +
-                   sendingTime(copy_bytes, shareOf(bytesPerSecondOf(sender.link)));
+                   sendingTime(copy_bytes, copyRateOf(bytesPerSecondOf(sender.link)));
   remove(balancer);
   add(balancer, sender);
 }
 
 void ViewSpreadPlan::add(Endpoint balancer, const Sender& sender) {
   senders_[balancer] = sender;
-  free_senders_[sender.link].insert({sender.free_at, balancer});
+  senders_by_link_[sender.link].insert({sender.free_at, balancer});
 }
 
 void ViewSpreadPlan::remove(Endpoint balancer) {
-  const auto known = senders_.extract(balancer);
-  if (known.empty()) {
+  const auto node = senders_.extract(balancer);
+  if (node.empty()) {
     return;
   }
-  const Sender& sender = known.mapped();
-  const auto of_link = free_senders_.find(sender.link);
-  of_link->second.erase({sender.free_at, balancer});
-  if (of_link->second.empty()) {
-    free_senders_.erase(of_link);
+  const Sender& sender = node.mapped();
+  const auto senders_of_class = senders_by_link_.find(sender.link);
+  senders_of_class->second.erase({sender.free_at, balancer});
+  if (senders_of_class->second.empty()) {
+    senders_by_link_.erase(senders_of_class);
   }
 }
 
-void ViewSpreadPlan::forgetOld() {
+void ViewSpreadPlan::expireSenders() {
   const MonotonicTime now = time_source_.monotonicTime();
-  while (!by_age_.empty() && now - by_age_.front().first > settings_.sender_lifetime) {
-    remove(by_age_.front().second);
-    by_age_.pop_front();
+  while (!by_insertion_.empty() && now - by_insertion_.front().first > settings_.sender_ttl) {
+    remove(by_insertion_.front().second);
+    by_insertion_.pop_front();
   }
 }
 
--- a/src/discovery/view_spread_plan.h
+++ b/src/discovery/view_spread_plan.h
@@ -16,11 +16,11 @@
    * Share of a link that copies take: the rest is for callers' packets, the store's changes and the
    * requests of those that wait.
    */
-  double link_share = 0.7;
+  double link_fraction = 0.7;
   /** From a copy's last part until it can be handed on, on a small machine that is busy. */
-  Duration hop = milliseconds(100);
+  Duration relay_delay = milliseconds(100);
   /** Time for which a balancer that was given a copy counts as a sender. */
-  Duration sender_lifetime = seconds(2);
+  Duration sender_ttl = seconds(2);
 };
 
 /**
@@ -32,7 +32,7 @@
 class ViewSpreadPlan {
  public:
   /** @param own_bytes_per_s rate at which this balancer sends copies. */
-  ViewSpreadPlan(ViewSpreadSettings settings, std::uint64_t own_bytes_per_s,
+  ViewSpreadPlan(ViewSpreadSettings settings, std::uint64_t local_bytes_per_s,
                  const TimeSource& time_source);
 
   /**
@@ -41,7 +41,7 @@
    * is served by this balancer, so that no chain of failures keeps it without a view.
    * @return the sender; unset for this balancer.
    */
-  Endpoint choose(const KnownPeer& receiver, std::size_t copy_bytes);
+  Endpoint assignSender(const KnownPeer& receiver, std::size_t copy_bytes);
 
   std::size_t senders() const { return senders_.size(); }
 
@@ -60,28 +60,28 @@
     auto operator<=>(const Choice&) const = default;
   };
   /** The senders with links of one class, the first to be free first. */
-  using FreeSenders = std::set<std::pair<MonotonicTime, Endpoint>>;
+  using SendersByFreeTime = std::set<std::pair<MonotonicTime, Endpoint>>;
 
   Choice choiceOf(Endpoint sender, MonotonicTime free_at, std::uint64_t bytes_per_s,
                   const KnownPeer& receiver, std::size_t copy_bytes) const;
   /** @return the best of the balancers that were given a copy before. */
-  Choice bestOther(const KnownPeer& receiver, std::size_t copy_bytes) const;
+  Choice bestPeer(const KnownPeer& receiver, std::size_t copy_bytes) const;
   /** A copy keeps the sender's link busy. */
-  void occupy(Endpoint balancer, std::size_t copy_bytes);
+  void reserveLink(Endpoint balancer, std::size_t copy_bytes);
   /** @return what copies may take of a link's rate. */
-  std::uint64_t shareOf(std::uint64_t bytes_per_s) const;
+  std::uint64_t copyRateOf(std::uint64_t bytes_per_s) const;
   void add(Endpoint balancer, const Sender& sender);
   void remove(Endpoint balancer);
-  void forgetOld();
+  void expireSenders();
 
   const ViewSpreadSettings settings_;
-  const std::uint64_t own_bytes_per_s_;
+  const std::uint64_t local_bytes_per_s_;
   const TimeSource& time_source_;
-  MonotonicTime own_free_at_;
+  MonotonicTime local_free_at_;
   std::unordered_map<Endpoint, Sender> senders_;
-  std::map<LinkClass, FreeSenders> free_senders_;
+  std::map<LinkClass, SendersByFreeTime> senders_by_link_;
   /** Senders in the order in which they were added; some may be gone. */
-  std::deque<std::pair<MonotonicTime, Endpoint>> by_age_;
+  std::deque<std::pair<MonotonicTime, Endpoint>> by_insertion_;
 };
 
 /** @return the rate of a link in the middle of the class [bytes/s]; that of the slowest for 0. */
--- a/tests/discovery/view_client_test.cc
+++ b/tests/discovery/view_client_test.cc
@@ -29,7 +29,7 @@
     client.readView({peer, 1}, 0, milliseconds(120),
                     [this](const Result<PeerView, PeerRefusal>& answer) {
                       ++answers;
-                      view_came = answer.has_value();
+                      has_view = answer.has_value();
                       cause = answer ? SourceError::NotFound : answer.error().cause;
                     });
   }
@@ -67,7 +67,7 @@
                     time,
                     *random};
   int answers = 0;
-  bool view_came = false;
+  bool has_view = false;
   SourceError cause = SourceError::NotFound;
 };
 
@@ -86,13 +86,13 @@
   SECTION("and completes the view") {
     harness.sendParts(3, body, hashOfBody(body), 3, 5);
     CHECK(harness.answers == 2);
-    CHECK(harness.view_came);
+    CHECK(harness.has_view);
   }
   SECTION("or is dropped where that one has another body, even an older one") {
     const Bytes other = encodeViewBody({{written("other", 2)}, 5, true, {}});
     harness.sendParts(3, other, hashOfBody(other), 0, 1);
     CHECK(harness.answers == 2);
-    CHECK(harness.view_came);
+    CHECK(harness.has_view);
   }
 }
 
@@ -110,7 +110,7 @@
   harness.read(3);
   CHECK(harness.request().body_hash == 0);
   harness.sendParts(3, body, hashOfBody(body), 0, 5);
-  CHECK(harness.view_came);
+  CHECK(harness.has_view);
 }
 
 }  // namespace
--- a/tests/discovery/view_provider_test.cc
+++ b/tests/discovery/view_provider_test.cc
@@ -27,7 +27,7 @@
   const ItemView& view() const override { return content; }
   ViewStatus viewStatus() const override { return {content.position(), 50, serves}; }
 
-  void ask(std::uint32_t number, Revision after = 0) {
+  void sendRequest(std::uint32_t number, Revision after = 0) {
     provider.onRequest({number, balancer(number), after, 0, 0, kAllParts}, socketOf(number));
   }
 
@@ -48,10 +48,10 @@
 
   /** Makes the view so large that one copy takes 10 ms of the link. */
   void makeLarge() {
-    const auto noise_source = makeSeededRandom(5);
+    const auto noise_random = makeSeededRandom(5);
     std::string noise(25000, ' ');
     for (char& byte : noise) {
-      byte = static_cast<char>(noise_source->next());
+      byte = static_cast<char>(noise_random->next());
     }
     content.apply(written("noise", 20, noise));
     content.setPosition(20);
@@ -74,7 +74,7 @@
 TEST_CASE("a whole view is told with the balancers that are known", "[view_provider]") {
   ProviderHarness harness;
   harness.directory.onAlive(balancer(5));
-  harness.ask(7);
+  harness.sendRequest(7);
   const ViewBody body = harness.bodyFor(7);
   CHECK(body.is_whole);
   CHECK(body.at == 10);
@@ -90,20 +90,20 @@
   ProviderHarness harness;
   harness.content.apply(written("b", 12));
   harness.content.setPosition(12);
-  harness.ask(7, 10);
+  harness.sendRequest(7, 10);
   const ViewBody changes = harness.bodyFor(7);
   CHECK_FALSE(changes.is_whole);
   CHECK(changes.at == 12);
   REQUIRE(changes.changes.size() == 1);
   CHECK(changes.changes[0].item.key == "b");
 
-  harness.ask(7, 12);
+  harness.sendRequest(7, 12);
   CHECK(harness.bodyFor(7).changes.empty());
 
-  harness.ask(7, 15);
+  harness.sendRequest(7, 15);
   CHECK(harness.bodyFor(7).at == 15);
 
-  harness.ask(7, 4);
+  harness.sendRequest(7, 4);
   const auto refused = harness.takeSent(7);
   REQUIRE(refused.size() == 1);
   CHECK_FALSE(std::get<ViewRefusal>(refused.front()).status.serves_view);
@@ -112,8 +112,8 @@
 TEST_CASE("who asks before there is a view is answered once it is there", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  harness.ask(7);
-  harness.ask(7);
+  harness.sendRequest(7);
+  harness.sendRequest(7);
   const auto waiting = harness.takeSent(7);
   REQUIRE(waiting.size() == 2);
   CHECK(std::get<ViewRefusal>(waiting[0]).is_queued);
@@ -127,7 +127,7 @@
 TEST_CASE("changes are not waited for: who has a view asks somebody else", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  harness.ask(8, 10);
+  harness.sendRequest(8, 10);
   CHECK_FALSE(std::get<ViewRefusal>(harness.takeSent(8).front()).is_queued);
   harness.serves = true;
   harness.provider.onViewReady();
@@ -137,9 +137,9 @@
 TEST_CASE("who asked long ago has turned to another balancer", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  harness.ask(7);
+  harness.sendRequest(7);
   harness.takeSent(7);
-  harness.time.elapsed += harness.settings.queue_lifetime + milliseconds(1);
+  harness.time.elapsed += harness.settings.queue_ttl + milliseconds(1);
   harness.serves = true;
   harness.provider.onViewReady();
   CHECK(harness.takeSent(7).empty());
@@ -149,20 +149,20 @@
           "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  harness.ask(7);
+  harness.sendRequest(7);
   harness.takeSent(7);
-  harness.ask(8, 10);
+  harness.sendRequest(8, 10);
   // This balancer is about to have a view as well: nobody is sent away at once.
-  harness.ask(7);
+  harness.sendRequest(7);
   CHECK(std::get<ViewRefusal>(harness.takeSent(7).front()).is_queued);
-  harness.time.elapsed += harness.settings.hold_at_start;
-  harness.ask(7);
+  harness.time.elapsed += harness.settings.referral_startup_delay;
+  harness.sendRequest(7);
   const auto sent = harness.takeSent(7);
   REQUIRE(sent.size() == 1);
   CHECK_FALSE(std::get<ViewRefusal>(sent.front()).is_queued);
   CHECK(std::get<ViewRefusal>(sent.front()).others == std::vector<Endpoint>{balancer(8)});
   harness.time.elapsed += seconds(3);
-  harness.ask(9);
+  harness.sendRequest(9);
   CHECK(std::get<ViewRefusal>(harness.takeSent(9).front()).is_queued);
 }
 
@@ -170,32 +170,32 @@
           "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  harness.ask(7);
+  harness.sendRequest(7);
   harness.takeSent(7);
   const ViewBody other{{written("other", 30)}, 30, true, {}};
   harness.provider.adopt(encodeViewBody(other), {30, 200, true});
   const ViewBody body = harness.bodyFor(7);
   CHECK(body.at == 30);
-  harness.ask(8);
+  harness.sendRequest(8);
   CHECK(harness.bodyFor(8).at == 30);
   SECTION("its age grows, and it has no changes to tell") {
     harness.time.elapsed += milliseconds(500);
-    harness.ask(8);
+    harness.sendRequest(8);
     CHECK(std::get<ViewPart>(harness.takeSent(8).front()).status.age_ms == 700);
-    harness.ask(9, 20);
+    harness.sendRequest(9, 20);
     CHECK(std::holds_alternative<ViewRefusal>(harness.takeSent(9).front()));
   }
   SECTION("the own view takes its place") {
     harness.serves = true;
     harness.provider.onViewReady();
-    harness.ask(9);
+    harness.sendRequest(9);
     CHECK(harness.bodyFor(9).at == 10);
   }
   SECTION("none is adopted where there is an own one") {
     harness.serves = true;
     harness.provider.onViewReady();
     harness.provider.adopt(encodeViewBody(other), {30, 200, true});
-    harness.ask(9);
+    harness.sendRequest(9);
     CHECK(harness.bodyFor(9).at == 10);
   }
 }
@@ -203,11 +203,11 @@
 TEST_CASE("the queue is bounded", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
-  for (std::uint32_t number = 1; number <= harness.settings.max_queued + 1; ++number) {
-    harness.ask(number);
+  for (std::uint32_t number = 1; number <= harness.settings.max_queued_requests + 1; ++number) {
+    harness.sendRequest(number);
   }
-  CHECK(harness.provider.counters().queued == harness.settings.max_queued);
-  const auto last = static_cast<std::uint32_t>(harness.settings.max_queued + 1);
+  CHECK(harness.provider.counters().queued == harness.settings.max_queued_requests);
+  const auto last = static_cast<std::uint32_t>(harness.settings.max_queued_requests + 1);
   CHECK_FALSE(std::get<ViewRefusal>(harness.takeSent(last).front()).is_queued);
 }
 
@@ -256,7 +256,7 @@
     CHECK(harness.bodyFor(number).is_whole);
   }
   // Small changes always go.
-  harness.ask(50, 20);
+  harness.sendRequest(50, 20);
   CHECK(std::holds_alternative<ViewPart>(harness.takeSent(50).front()));
 }
 
@@ -273,46 +273,49 @@
   }
   harness.serves = true;
   harness.provider.onViewReady();
-  int by_strong = 0;
-  int by_weak = 0;
+  int referrals_to_fast = 0;
+  int referrals_to_slow = 0;
   for (std::uint32_t number = 1; number <= 40; ++number) {
     const auto messages = harness.takeSent(number);
-    const bool is_told = !messages.empty();
-    const auto* refusal = is_told ? std::get_if<ViewRefusal>(&messages.front()) : nullptr;
+    const bool has_messages = !messages.empty();
+    const auto* refusal = has_messages ? std::get_if<ViewRefusal>(&messages.front()) : nullptr;
     if (refusal != nullptr && !refusal->others.empty()) {
-      (refusal->others.front().address % 10 == 0 ? by_strong : by_weak) += 1;
+      (refusal->others.front().address % 10 == 0 ? referrals_to_fast : referrals_to_slow) += 1;
     }
   }
-  CHECK(by_strong > 25);
-  CHECK(by_weak == 0);
+  CHECK(referrals_to_fast > 25);
+  CHECK(referrals_to_slow == 0);
 }
 
 TEST_CASE("a balancer that comes again was not served: its sender is not named again",
           "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
-  std::uint32_t asking = 0;
-  Endpoint named;
-  while (!named.isSet()) {
-    ++asking;
-    REQUIRE(asking < 40);
-    harness.provider.onRequest({asking, balancer(asking), 0, 0, 0, kAllParts, linkClassOf(20)},
-                               socketOf(asking));
-    const auto messages = harness.takeSent(asking);
+  std::uint32_t requester = 0;
+  Endpoint referred_sender;
+  while (!referred_sender.isSet()) {
+    ++requester;
+    REQUIRE(requester < 40);
+    harness.provider.onRequest(
+        {requester, balancer(requester), 0, 0, 0, kAllParts, linkClassOf(20)}, socketOf(requester));
+    const auto messages = harness.takeSent(requester);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    named = refusal != nullptr && !refusal->others.empty() ? refusal->others.front() : Endpoint();
+    referred_sender =
+        refusal != nullptr && !refusal->others.empty() ? refusal->others.front() : Endpoint();
   }
   // The same request again: the answer was lost.
-  const ViewRequest request{asking, balancer(asking), 0, 0, 0, kAllParts, linkClassOf(20)};
-  harness.provider.onRequest(request, socketOf(asking));
-  CHECK(std::get<ViewRefusal>(harness.takeSent(asking).front()).others.front() == named);
+  const ViewRequest request{requester, balancer(requester), 0, 0, 0, kAllParts, linkClassOf(20)};
+  harness.provider.onRequest(request, socketOf(requester));
+  CHECK(std::get<ViewRefusal>(harness.takeSent(requester).front()).others.front() ==
+        referred_sender);
   for (std::uint32_t attempt = 0; attempt < 5; ++attempt) {
-    ViewRequest anew = request;
-    anew.request = 1000 + attempt;
-    harness.provider.onRequest(anew, socketOf(asking));
-    const auto messages = harness.takeSent(asking);
+    ViewRequest repeated = request;
+    repeated.request = 1000 + attempt;
+    harness.provider.onRequest(repeated, socketOf(requester));
+    const auto messages = harness.takeSent(requester);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    CHECK((refusal == nullptr || refusal->others.empty() || refusal->others.front() != named));
+    CHECK((refusal == nullptr || refusal->others.empty() ||
+           refusal->others.front() != referred_sender));
   }
 }
 
@@ -322,7 +325,7 @@
   harness.makeLarge();
   std::uint32_t served = 0;
   for (std::uint32_t number = 1; number <= 40; ++number) {
-    harness.ask(number, 10);
+    harness.sendRequest(number, 10);
     const auto messages = harness.takeSent(number);
     if (std::holds_alternative<ViewPart>(messages.front())) {
       ++served;
@@ -339,14 +342,14 @@
   // Who has it hears of the next server at once, however full the link is.
   harness.content.apply(written("b", 21));
   harness.content.setPosition(21);
-  harness.ask(1, 20);
+  harness.sendRequest(1, 20);
   CHECK(harness.bodyFor(1).changes.size() == 1);
 }
 
 TEST_CASE("only the parts that are missing are sent again", "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
-  harness.ask(7);
+  harness.sendRequest(7);
   ViewAssembly assembly;
   const auto messages = harness.takeSent(7);
   for (std::size_t index = 0; index < messages.size(); ++index) {
@@ -354,12 +357,12 @@
       assembly.onPart(std::get<ViewPart>(messages[index]));
     }
   }
-  ViewRequest again{7, balancer(7), 0, 0, 0, 0};
-  assembly.fillRequest(again);
+  ViewRequest resend{7, balancer(7), 0, 0, 0, 0};
+  assembly.fillRequest(resend);
   SECTION("of the same body, also where the view has changed since") {
     harness.content.apply(written("b", 30));
     harness.content.setPosition(30);
-    harness.provider.onRequest(again, socketOf(7));
+    harness.provider.onRequest(resend, socketOf(7));
     const auto parts = harness.takeSent(7);
     CHECK(parts.size() == 2);
     for (const ViewMessage& part : parts) {
@@ -368,24 +371,24 @@
     CHECK(assembly.isComplete());
   }
   SECTION("or all, where the balancer that asks has begun with another one's body") {
-    again.request = 77;
-    again.body_hash = 1234;
-    harness.provider.onRequest(again, socketOf(7));
+    resend.request = 77;
+    resend.body_hash = 1234;
+    harness.provider.onRequest(resend, socketOf(7));
     CHECK(harness.bodyFor(7).at == 20);
   }
   SECTION("of that body too, where another balancer sent the others") {
-    again.request = 78;
-    harness.provider.onRequest(again, socketOf(7));
+    resend.request = 78;
+    harness.provider.onRequest(resend, socketOf(7));
     CHECK(harness.takeSent(7).size() == 2);
   }
 }
 
 TEST_CASE("who starts late in a crowd is told of the others in it", "[view_provider]") {
   ProviderHarness harness;
-  harness.ask(7);
+  harness.sendRequest(7);
   harness.takeSent(7);
   harness.time.elapsed += milliseconds(200);
-  harness.ask(8);
+  harness.sendRequest(8);
   const ViewBody body = harness.bodyFor(8);
   CHECK(std::count(body.peers.begin(), body.peers.end(), KnownPeer(balancer(7))) == 1);
 }
