--- a/src/discovery/view_client.cc
+++ b/src/discovery/view_client.cc
@@ -53,7 +53,7 @@
   }
   const bool is_other_body = part.body_hash != pending->assembly.bodyHash();
   if (!pending->has_parts && is_other_body) {
-    // What an earlier sender left unfinished is of no use with this one.
+    // The parts from an earlier sender belong to another body.
     pending->assembly = ViewAssembly();
   }
   if (!pending->assembly.onPart(part)) {
@@ -79,11 +79,11 @@
   const std::uint32_t offset = last_part % kPartsInRequest;
   const bool is_last = last_part + 1 == pending.assembly.parts();
   if (offset == kPartsInRequest / 2 - 1) {
-    // Half of a window is there: the next one is asked for, so that the sender never waits.
+    // Half of the window has arrived: request the next one so that the sender does not idle.
     requestMissing(pending, window + 1);
   }
   if ((offset == kPartsInRequest / 2 - 1 || is_last) && window > 0) {
-    // What is still missing of the window before was lost on its way.
+    // Parts of the previous window that are still missing were lost.
     requestMissing(pending, window - 1);
   }
   if (is_last) {
@@ -193,7 +193,7 @@
 void ViewClient::fail(std::uint64_t id, PeerRefusal refusal) {
   auto found = views_.extract(id);
   PendingView& pending = found.mapped();
-  // Of a body that never fits its hash the next sender would be asked for no part at all.
+  // With all parts present but a wrong hash, the next sender would be asked for no part at all.
   const bool can_resume = pending.assembly.hasBegun() && !pending.assembly.hasAllParts();
   if (pending.request.after == 0 && can_resume) {
     partial_assembly_ = std::move(pending.assembly);
--- a/src/discovery/view_client.h
+++ b/src/discovery/view_client.h
@@ -8,36 +8,37 @@
 
 namespace lugfork {
 
-/** Times of a ViewClient. */
+/** Settings of ViewClient. */
 struct ViewClientSettings {
-  /** A request is sent again, or for the missing parts, where nothing came for so long. */
+  /** Time without progress after which a request is resent, for the missing parts only. */
   Duration resend_interval = milliseconds(60);
   /**
-   * Time for which a request that the peer has queued is left with it. Each sign that a peer with a
-   * view keeps it begins it anew; one without a view may never get one.
+   * Longest wait for a request that the peer has queued. It starts anew with each confirmation from
+   * a peer that has a view, but not from one without: that peer may never get a view.
    */
   Duration queued_timeout = milliseconds(200);
   /**
-   * The same where the peer will surely have a view: another one has named it, or the fleet has
-   * just started and all seeds read the store. At most ViewProviderSettings::queue_lifetime.
+   * The same for a peer that is expected to have a view soon: another peer has referred to it, or
+   * the fleet has just started and all seeds read the store. At most
+   * ViewProviderSettings::queue_ttl.
    */
   Duration expected_view_timeout = milliseconds(500);
-  /** Time after the start for which that holds. */
+  /** Time after this balancer's start in which the fleet counts as just started. */
   Duration fleet_start_window = milliseconds(1000);
-  /** Who is queued asks again after so long, so that it keeps its place there. */
+  /** Interval at which a queued request is resent to keep its place in the peer's queue. */
   Duration queue_renewal_interval = milliseconds(150);
-  /** Time without an answer after which an exchange of peers has failed. */
+  /** Time without an answer after which an exchange of peer addresses fails. */
   Duration exchange_timeout = milliseconds(450);
 };
 
-/** Reads other balancers' views by datagrams: requests, resends, and what was put together. */
+/** Reads peers' views over datagrams: sends requests, resends them and reassembles the parts. */
 class ViewClient : public PeerClient {
  public:
   using Send = std::function<void(Endpoint to, const ViewMessage&)>;
 
   /**
-   * @param self this balancer, as others are to know it.
-   * @param port of the datagrams, the same for all balancers of a fleet.
+   * @param self this balancer as announced to its peers.
+   * @param port UDP port for these datagrams, the same for all balancers of a fleet.
    */
   ViewClient(ViewClientSettings settings, KnownPeer self, std::uint16_t port, Send send,
              Scheduler& scheduler, const TimeSource& time_source, RandomGenerator& random);
@@ -46,7 +47,7 @@
   void readView(Endpoint peer, Revision after, Duration timeout, ViewCallback callback) override;
   void exchangePeers(Endpoint peer, PeersCallback callback) override;
 
-  /** Gets each whole view as it was told, before this balancer has made it its own. */
+  /** Called with the encoded body of each whole view received, before the view is applied. */
   using BodyCallback = std::function<void(Bytes body, const ViewStatus& status)>;
   void setWholeViewCallback(BodyCallback callback) { on_whole_view_ = std::move(callback); }
 
@@ -54,25 +55,25 @@
   void onRefusal(const ViewRefusal& refusal, Endpoint from);
   void onPeersReply(const PeersReply& reply, Endpoint from);
 
-  /** @return bodies that could not be read although all parts had come. */
+  /** @return number of bodies that could not be decoded although all parts had arrived. */
   std::uint64_t malformedBodies() const { return malformed_bodies_; }
 
  private:
-  /** A view that is being read. */
+  /** A read of a view in progress. */
   struct PendingView {
     Endpoint peer;
     ViewRequest request;
     ViewCallback callback;
     ViewAssembly assembly;
-    /** Time at which the peer counts as silent unless it gives a sign. */
+    /** Time at which the read fails unless the peer responds before. */
     MonotonicTime deadline;
     Duration timeout{};
     bool is_queued = false;
-    /** When a queued request is sent again. */
+    /** Time at which a queued request is resent. */
     MonotonicTime renew_at;
-    /** A part has come since the last check. */
+    /** A part has arrived since the last check. */
     bool has_progress = false;
-    /** A part has come from this peer. */
+    /** A part has arrived from this peer. */
     bool has_parts = false;
   };
   struct PendingExchange {
@@ -82,11 +83,14 @@
 
   void scheduleCheck(std::uint64_t id);
   void check(std::uint64_t id);
-  /** Asks for what comes next, and for what was lost on the way, as a part's place shows it. */
+  /**
+   * Requests the next window of parts and those that were lost, depending on the position of the
+   * last part received.
+   */
   void requestMore(const PendingView& pending, std::uint32_t last_part);
   void requestMissing(const PendingView& pending, std::uint32_t window);
   void finish(PendingView& pending);
-  /** Asks again for what is missing. */
+  /** Resends the request for the missing parts. */
   void resend(PendingView& pending);
   void fail(std::uint64_t id, PeerRefusal refusal);
   Duration queuedTimeout(const PendingView& pending) const;
@@ -96,7 +100,7 @@
   const KnownPeer self_;
   const std::uint16_t port_;
   const Send send_;
-  /** The balancer that a peer with a view has named last. */
+  /** Balancer that a peer with a view last referred this one to. */
   Endpoint last_referral_;
   Scheduler& scheduler_;
   const TimeSource& time_source_;
@@ -105,7 +109,7 @@
   std::unordered_map<std::uint64_t, PendingView> views_;
   std::unordered_map<std::uint64_t, PendingExchange> exchanges_;
   BodyCallback on_whole_view_;
-  /** Parts of a whole view whose sender failed; another one may have the rest of the same body. */
+  /** Parts of a whole view whose sender failed; another sender may have the same body. */
   ViewAssembly partial_assembly_;
   std::uint64_t malformed_bodies_ = 0;
 };
--- a/src/discovery/view_copy_queue.h
+++ b/src/discovery/view_copy_queue.h
@@ -11,34 +11,38 @@
 
 namespace lugfork {
 
-/** A whole view as it is sent: the same bytes for each receiver and until its last part. */
+/** An encoded whole view; a receiver gets all parts of its copy from the same body. */
 struct WholeBody {
   Bytes bytes;
   std::uint64_t hash = 0;
-  /** The view's status when the body was made. */
+  /** Status of the view when the body was created. */
   ViewStatus status;
   MonotonicTime made_at;
 };
 using WholeBodyPtr = std::shared_ptr<const WholeBody>;
 
-/** Tunables of ViewCopies. */
+/** Settings of ViewCopyQueue. */
 struct ViewCopyQueueSettings {
   /**
-   * Sum of the receivers' link rates up to which copies are sent at a time, as a multiple of the
-   * own link's: a receiver whose windows wait for a round trip each draws less than its rate.
-   * Less left links idle, more kept copies from being whole soon enough to be handed on: 1.25 and
-   * 2.0 took 1.3 and 1.05 s to the last of 2,000 balancers (simulated), 1.5 took 1.03 s.
+   * Limit of the sum of the receivers' link rates in concurrent copies, as a multiple of this
+   * balancer's link rate. It exceeds 1 because a receiver waits a round trip for each window and so
+   * uses less than its link rate. A lower limit leaves the link idle; a higher one delays the first
+   * complete copies, which can be relayed. Simulated time until the last of 2,000 balancers has a
+   * view: 1.3 s with 1.25, 1.03 s with 1.5, 1.05 s with 2.0.
    */
   double overcommit = 1.5;
-  /** A receiver that has not asked for so long holds no place any more (two resends). */
+  /** A receiver without a request for this long no longer counts as active (two resends). */
   Duration idle_timeout = milliseconds(150);
-  /** Time after which a copy or a place in the queue is forgotten. */
+  /** Time after the last request at which a copy or a waiting receiver expires. */
   Duration ttl = milliseconds(1000);
-  /** Receivers that wait for their copy at most (about a hundred bytes each). */
+  /** Limit of waiting receivers (about a hundred bytes each). */
   std::size_t max_waiting = 4096;
 };
 
-/** Who is sent a whole view now, and who waits for it: strong links first, then by arrival. */
+/**
+ * Copies of the whole view in progress, and the receivers that wait for one: fast links first, then
+ * in order of arrival.
+ */
 class ViewCopyQueue {
  public:
   struct Receiver {
@@ -49,23 +53,22 @@
   ViewCopyQueue(ViewCopyQueueSettings settings, std::uint64_t own_bytes_per_s,
                 const TimeSource& time_source);
 
-  /** Puts a receiver into the queue, or keeps its place there. @return false where it is full. */
+  /** Adds a receiver to the queue, or keeps its place. @return false if the queue is full. */
   bool enqueue(const Receiver& receiver);
   bool hasWaiting() const { return !waiting_.empty(); }
   bool isWaiting(Endpoint reply_to) const { return waiting_.contains(reply_to); }
 
-  /** @return the next receiver whose copy may begin, taken out of the queue; or nothing. */
+  /** Removes and returns the next receiver whose copy may start; nothing if none may. */
   std::optional<Receiver> takeNext();
 
-  /** A receiver's copy begins. */
   void start(const Receiver& receiver, WholeBodyPtr body);
 
   /**
-   * @return the body that is being sent in answer to the request; nullptr where none is.
+   * @return the body that is being sent in response to the request; nullptr if there is none.
    */
   WholeBodyPtr findBody(const ViewRequest& request, Endpoint reply_to) const;
 
-  /** The receiver has asked for parts. @param is_last they are the copy's last ones. */
+  /** Records a request for parts. @param is_last the request covers the last part. */
   void onRequested(Endpoint reply_to, bool is_last);
 
   void remove(Endpoint reply_to);
@@ -85,7 +88,7 @@
   };
 
   void expire();
-  /** @return true while another copy fits beside those that are being sent. */
+  /** @return true if the overcommit limit permits another concurrent copy. */
   bool hasCapacity() const;
   std::uint64_t rateOf(const Receiver& receiver) const;
 
--- a/src/discovery/view_provider.cc
+++ b/src/discovery/view_provider.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
-/** Balancers with a view to which those that wait for this one's are sent. */
+/** Peers with a view that a balancer waiting for this one's first view is referred to. */
 constexpr std::size_t kReferralsPerRefusal = 2;
 
 }  // namespace
@@ -32,7 +32,7 @@
   if (has_view) {
     directory_.onShowsView(request.from);
   }
-  // An adopted view has no history: changes can only be told of the own one.
+  // An adopted view has no history, so changes can only be sent from this balancer's own view.
   const bool can_answer = has_view ? owner_.viewStatus().serves_view : status().serves_view;
   if (!can_answer) {
     enqueue(request, reply_to);
@@ -52,7 +52,7 @@
 
 void ViewProvider::onViewReady() {
   if (std::exchange(has_adopted_, false)) {
-    // Copies of the adopted view go on; who asks from now on gets the own one.
+    // Copies of the adopted view continue; new requests get this balancer's own view.
     whole_body_ = nullptr;
   }
   answerQueue();
@@ -87,7 +87,7 @@
       receivers.push_back(queued.receiver);
     }
   }
-  // Strong links first: they carry the copies of the others.
+  // Fast links first: these receivers relay the view to the others.
   std::sort(receivers.begin(), receivers.end(), [](const auto& left, const auto& right) {
     const bool is_same_link = left.request.link == right.request.link;
     return is_same_link ? left.reply_to < right.reply_to : left.request.link > right.request.link;
--- a/src/discovery/view_provider.h
+++ b/src/discovery/view_provider.h
@@ -12,42 +12,42 @@
 
 namespace lugfork {
 
-/** Tunables of a ViewProvider. */
+/** Settings of ViewProvider. */
 struct ViewProviderSettings {
-  /** Rate of this balancer's own link [bytes/s]. */
+  /** Rate of this balancer's link [bytes/s]. */
   std::uint64_t link_bytes_per_s = 2'500'000;
   /**
-   * Time for which what was sent may fill the link: no copy of a view begins beyond that, and who
-   * asks for changes of more than a datagram is sent to those that have just got theirs (chosen: at
-   * 20 Mbit/s 75 KB).
+   * Longest time that the link may need for the data already sent (75 KB at 20 Mbit/s). Beyond it
+   * no new copy of a whole view starts, and a request for changes larger than one datagram is
+   * referred to a peer that has just received them.
    */
   Duration max_backlog = milliseconds(30);
-  /** Requests that wait for this balancer's first view at most (some tens of bytes each). */
+  /** Limit of requests that wait for this balancer's first view (some tens of bytes each). */
   std::size_t max_queued_requests = 1024;
-  /** Time after which who asked has turned to another balancer (ViewClientSettings). */
+  /** Time after which a requester has given up and tried another balancer (ViewClientSettings). */
   Duration queue_ttl = milliseconds(500);
   /**
-   * Time for which an encoded view is used again: to make it anew takes some tens of milliseconds
-   * of a small machine's processor, and who gets it polls for what has changed since.
+   * Time for which an encoded view is reused. Encoding takes some tens of milliseconds of CPU time
+   * on a small machine, and receivers poll for later changes anyway.
    */
   Duration body_ttl = milliseconds(500);
   /**
-   * Time after this balancer's start in which nobody who waits for its first view is sent to
-   * another one that shows a view: all seeds read the store at once, and the first one to have it
-   * shall not be sent the whole fleet.
+   * Time after this balancer's start during which requesters that wait for its first view are not
+   * referred to a peer that has one. All seeds read the store at the same time; without the delay
+   * the whole fleet would be referred to the first seed that finishes.
    */
   Duration referral_startup_delay = milliseconds(600);
-  /** Time after which is looked again whether the link has room for those that wait. */
+  /** Interval at which waiting receivers are checked against the link's backlog. */
   Duration copy_retry_interval = milliseconds(10);
   ViewSpreadSettings spread;
   ViewCopyQueueSettings copy_queue;
-  /** Balancers that got a view lately, to which others are sent. */
+  /** Limit of peers that recently received changes and to which others are referred. */
   std::size_t max_recent_receivers = 4;
-  /** Time for which a balancer that got a view counts as one of these. */
+  /** Time for which such a peer is kept. */
   Duration recent_receiver_ttl = seconds(2);
 };
 
-/** The view that a ViewProvider hands out. */
+/** Gives access to the view that a ViewProvider serves. */
 class ViewOwner {
  public:
   virtual ~ViewOwner() = default;
@@ -55,24 +55,24 @@
   virtual ViewStatus viewStatus() const = 0;
 };
 
-/** Counts of a ViewProvider. */
+/** Counters of ViewProvider. */
 struct ViewProviderCounters {
   std::uint64_t whole_views = 0;
   std::uint64_t changes = 0;
-  /** Sent to another balancer, which has a copy or will have one earlier. */
+  /** Requests referred to a peer that has a copy or will have one earlier. */
   std::uint64_t referred = 0;
-  /** Receivers that had to wait, for the first view or for their copy; each counted once. */
+  /** Receivers that waited for the first view or for their copy; each is counted once. */
   std::uint64_t queued = 0;
   std::uint64_t history_unknown = 0;
   std::uint64_t bytes = 0;
 };
 
 /**
- * Answers other balancers that read this one's view. Requests for a whole view that come before it
- * is there are queued. Whole views are sent as a ViewSpreadPlan says, a few at a time (ViewCopies);
- * large changes are handed on by those that get them first. Without bounds by the link 32 followers
- * asked for 33 KB each, again every 60 ms, and a link of 10 Mbit/s carried nothing else for
- * seconds.
+ * Serves this balancer's view to its peers. Requests for a whole view are queued until the view is
+ * complete. Whole views are sent as ViewSpreadPlan decides, a few at a time (ViewCopyQueue). Large
+ * changes are relayed by the peers that receive them first. The load is limited by the link's rate:
+ * without the limit 32 followers requested 33 KB each, again every 60 ms, and saturated a link of
+ * 10 Mbit/s for seconds.
  */
 class ViewProvider {
  public:
@@ -81,16 +81,16 @@
   ViewProvider(ViewProviderSettings settings, const ViewOwner& owner, PeerDirectory& directory,
                Scheduler& scheduler, const TimeSource& time_source, Send send);
 
-  /** @param reply_to the socket that asked; the request names the balancer's control address. */
+  /** @param reply_to the requester's socket; the request carries its control address. */
   void onRequest(const ViewRequest& request, Endpoint reply_to);
   void onPeersRequest(const PeersRequest& request, Endpoint reply_to);
 
-  /** The view can be handed out from now on: queued requests are answered. */
+  /** Called once the view can be served; answers queued requests. */
   void onViewReady();
 
   /**
-   * Another balancer's whole view has come. While there is no own one it is handed on as it is, at
-   * once: to take it in first would cost each level of the tree some tens of milliseconds.
+   * Serves a whole view received from a peer, unchanged, until this balancer's own view is ready.
+   * Applying it first would add some tens of milliseconds at each level of the distribution tree.
    */
   void adopt(Bytes body, const ViewStatus& status);
 
@@ -101,41 +101,42 @@
     ViewCopyQueue::Receiver receiver;
     MonotonicTime requested_at;
   };
-  /** Where a receiver was sent: it is told the same again where that message was lost. */
+  /** Peer that a receiver was referred to; repeated if the request is retransmitted. */
   struct Referral {
     std::uint64_t request = 0;
     Endpoint sender;
   };
+  /** A peer that has recently received a large change. */
   struct RecentReceiver {
     Endpoint balancer;
     MonotonicTime received_at;
   };
 
-  /** @return the own view's status, or that of an adopted one. */
+  /** @return the status of the adopted view if there is one, else of this balancer's view. */
   ViewStatus status() const;
-  /** @return the status of a body that was made some time ago. */
+  /** @return the body's status with its age updated to the current time. */
   ViewStatus statusOf(const WholeBody& body) const;
   void answerQueue();
   void enqueue(const ViewRequest& request, Endpoint reply_to);
   void answerWholeView(const ViewCopyQueue::Receiver& receiver);
   void continueCopy(const ViewCopyQueue::Receiver& receiver, const WholeBody& body);
   void planCopy(const ViewCopyQueue::Receiver& receiver);
-  /** Begins copies as far as the link has room, and again a little later while others wait. */
+  /** Starts copies while the backlog permits, and schedules a retry while others wait. */
   void startCopies();
   WholeBodyPtr wholeBody();
 
   /**
-   * Tells what has changed. Refused where that is not known: this balancer began later, and the
-   * whole view for each follower would fill its link.
+   * Sends the changes after the requested revision. Refuses if the history does not reach back that
+   * far: sending the whole view to each follower would saturate the link.
    */
   void answerChanges(const ViewRequest& request, Endpoint reply_to);
   void refuseChanges(const ViewRequest& request, Endpoint reply_to);
   void sendParts(const ViewRequest& request, const ViewStatus& body_status, const Bytes& body,
                  std::uint64_t hash, Endpoint reply_to);
   void refer(const ViewRequest& request, Endpoint reply_to, Endpoint other);
-  /** @return one of those that have just got a large change; unset where there is none. */
+  /** @return a peer that has recently received a large change; unset if there is none. */
   Endpoint nextRecentReceiver(Endpoint requester);
-  /** @return time until the link has sent what was handed to it. */
+  /** @return time that the link needs for the data already sent. */
   Duration backlog() const;
   void addToBacklog(std::size_t bytes);
   void addRecentReceiver(Endpoint balancer);
@@ -148,7 +149,7 @@
   const TimeSource& time_source_;
   const Send send_;
   const MonotonicTime started_at_;
-  /** Who waits for the first view of this balancer; later ones wait in the copies' queue. */
+  /** Requests that wait for this balancer's first view; later ones wait in copy_queue_. */
   std::unordered_map<Endpoint, QueuedRequest> queue_;
   ViewSpreadPlan plan_;
   ViewCopyQueue copy_queue_;
@@ -157,9 +158,9 @@
   std::deque<RecentReceiver> recent_receivers_;
   std::size_t next_recent_receiver_ = 0;
   MonotonicTime link_busy_until_;
-  /** The whole view as last encoded or adopted; nullptr for none. */
+  /** The whole view as last encoded or adopted; nullptr if there is none. */
   WholeBodyPtr whole_body_;
-  /** While another balancer's view is handed on. */
+  /** True while a peer's view is served in place of this balancer's own. */
   bool has_adopted_ = false;
   ViewProviderCounters counters_;
 };
--- a/src/discovery/view_spread_plan.cc
+++ b/src/discovery/view_spread_plan.cc
@@ -14,7 +14,7 @@
   return Duration(static_cast<std::int64_t>(bytes * kMicrosecondsPerSecond / bytes_per_s));
 }
 
-/** @return how long a copy takes to one receiver, whose windows wait for a round trip each. */
+/** @return duration of a copy to one receiver, which waits a round trip for each window. */
 Duration copyTime(std::size_t bytes, std::uint64_t bytes_per_s) {
   return sendingTime(bytes, bytes_per_s) * 5 / 4;
 }
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::uint64_t bytesPerSecondOf(LinkClass link) {
-  // The middle of the class, which reaches from one power of two to the next.
+  // A class spans from one power of two to the next; the result is near its middle.
   const std::uint64_t min_bytes_per_s = kBytesPerMegabit << std::min(link, kMaxLinkClass);
   return min_bytes_per_s + min_bytes_per_s * 2 / 5;
 }
--- a/src/discovery/view_spread_plan.h
+++ b/src/discovery/view_spread_plan.h
@@ -10,35 +10,35 @@
 
 namespace lugfork {
 
-/** What a ViewSpreadPlan reckons with. */
+/** Settings of ViewSpreadPlan. */
 struct ViewSpreadSettings {
   /**
-   * Share of a link that copies take: the rest is for callers' packets, the store's changes and the
-   * requests of those that wait.
+   * Fraction of a link's rate that copies may use. The rest is left for clients' packets, changes
+   * from the store and the requests of waiting balancers.
    */
   double link_fraction = 0.7;
-  /** From a copy's last part until it can be handed on, on a small machine that is busy. */
+  /** Time from a copy's last part until it can be relayed, on a busy small machine. */
   Duration relay_delay = milliseconds(100);
-  /** Time for which a balancer that was given a copy counts as a sender. */
+  /** Time for which a balancer that was assigned a copy is available as a sender. */
   Duration sender_ttl = seconds(2);
 };
 
 /**
- * Plans who sends copies of a view to the balancers that ask this one for it, so that each has its
- * copy as early as possible: a copy is sent by this balancer or by one that was given a copy
- * before. Without a plan, balancers that were refused asked again and again: 1,000 of them made
- * 14,390 requests, and 730 turned to the store.
+ * Assigns a sender to each balancer that requests a copy of the view, so that each copy completes
+ * as early as possible: this balancer itself, or one that was assigned a copy before. Without a
+ * plan refused balancers kept repeating their requests: 1,000 of them sent 14,390 requests, and 730
+ * read the store instead.
  */
 class ViewSpreadPlan {
  public:
-  /** @param own_bytes_per_s rate at which this balancer sends copies. */
+  /** @param local_bytes_per_s rate of this balancer's link [bytes/s]. */
   ViewSpreadPlan(ViewSpreadSettings settings, std::uint64_t local_bytes_per_s,
                  const TimeSource& time_source);
 
   /**
-   * Gives a receiver the sender from which its copy comes first, and counts it as a sender from
-   * then on. A receiver that comes again was not served: its sender is not chosen any more, and it
-   * is served by this balancer, so that no chain of failures keeps it without a view.
+   * Assigns the sender that completes the receiver's copy first, and adds the receiver to the
+   * senders. A receiver that requests again was not served: its sender is removed, and this
+   * balancer serves it, so that a chain of failed senders cannot leave it without a view.
    * @return the sender; unset for this balancer.
    */
   Endpoint assignSender(const KnownPeer& receiver, std::size_t copy_bytes);
@@ -48,27 +48,27 @@
  private:
   struct Sender {
     LinkClass link = 0;
-    /** When its link is free for another copy. */
+    /** Time at which its link is free for another copy. */
     MonotonicTime free_at;
-    /** Who sends it its own copy; unset for this balancer. */
+    /** Sender of its own copy; unset for this balancer. */
     Endpoint served_by;
   };
-  /** Who sends a copy, and when it is whole; the earlier one comes first, then this balancer. */
+  /** Sender of a copy and time of completion. Earlier ones sort first, this balancer on a tie. */
   struct Choice {
     MonotonicTime finish;
     Endpoint sender;
     auto operator<=>(const Choice&) const = default;
   };
-  /** The senders with links of one class, the first to be free first. */
+  /** Senders with links of one class, ordered by the time at which they are free. */
   using SendersByFreeTime = std::set<std::pair<MonotonicTime, Endpoint>>;
 
   Choice choiceOf(Endpoint sender, MonotonicTime free_at, std::uint64_t bytes_per_s,
                   const KnownPeer& receiver, std::size_t copy_bytes) const;
-  /** @return the best of the balancers that were given a copy before. */
+  /** @return the best choice among the peers that were assigned a copy before. */
   Choice bestPeer(const KnownPeer& receiver, std::size_t copy_bytes) const;
-  /** A copy keeps the sender's link busy. */
+  /** Reserves the sender's link for a copy; an unset address stands for this balancer. */
   void reserveLink(Endpoint balancer, std::size_t copy_bytes);
-  /** @return what copies may take of a link's rate. */
+  /** @return the part of a link's rate that copies may use [bytes/s]. */
   std::uint64_t copyRateOf(std::uint64_t bytes_per_s) const;
   void add(Endpoint balancer, const Sender& sender);
   void remove(Endpoint balancer);
@@ -80,11 +80,11 @@
   MonotonicTime local_free_at_;
   std::unordered_map<Endpoint, Sender> senders_;
   std::map<LinkClass, SendersByFreeTime> senders_by_link_;
-  /** Senders in the order in which they were added; some may be gone. */
+  /** Senders in the order in which they were added; some may have been removed since. */
   std::deque<std::pair<MonotonicTime, Endpoint>> by_insertion_;
 };
 
-/** @return the rate of a link in the middle of the class [bytes/s]; that of the slowest for 0. */
+/** @return the rate in the middle of a link class [bytes/s]; the slowest rate for class 0. */
 std::uint64_t bytesPerSecondOf(LinkClass link);
 
 }  // namespace lugfork
--- a/tests/discovery/view_client_test.cc
+++ b/tests/discovery/view_client_test.cc
@@ -34,10 +34,10 @@
                     });
   }
 
-  /** @return the last request that was sent. */
+  /** @return the last request sent. */
   const ViewRequest& request() const { return std::get<ViewRequest>(sent.back().second); }
 
-  /** A peer sends some of the parts of a body. */
+  /** Delivers the parts [first, end) of a body from a peer. */
   void sendParts(std::uint32_t peer, const Bytes& body, std::uint64_t hash, std::uint32_t first,
                  std::uint32_t end) {
     const std::uint64_t id = request().request;
@@ -71,7 +71,8 @@
   SourceError cause = SourceError::NotFound;
 };
 
-TEST_CASE("what a sender left unfinished is asked of the next one", "[view_client]") {
+TEST_CASE("a transfer that a sender left incomplete is resumed from the next sender",
+          "[view_client]") {
   ClientHarness harness;
   const Bytes body = largeBody();
   REQUIRE(partCount(static_cast<std::uint32_t>(body.size())) == 5);
@@ -83,12 +84,12 @@
   CHECK(harness.sent.back().first == socketOf(3));
   CHECK(harness.request().body_hash == hashOfBody(body));
   CHECK(harness.request().first_part == 3);
-  SECTION("and completes the view") {
+  SECTION("the remaining parts complete the view") {
     harness.sendParts(3, body, hashOfBody(body), 3, 5);
     CHECK(harness.answers == 2);
     CHECK(harness.has_view);
   }
-  SECTION("or is dropped where that one has another body, even an older one") {
+  SECTION("partial data is dropped if the next sender has another body, even an older one") {
     const Bytes other = encodeViewBody({{written("other", 2)}, 5, true, {}});
     harness.sendParts(3, other, hashOfBody(other), 0, 1);
     CHECK(harness.answers == 2);
@@ -96,8 +97,7 @@
   }
 }
 
-TEST_CASE("a body that never fits its hash is refused, and nothing of it is kept",
-          "[view_client]") {
+TEST_CASE("a body with a wrong hash is rejected and none of its parts are kept", "[view_client]") {
   ClientHarness harness;
   const Bytes body = largeBody();
   harness.read(2);
--- a/tests/discovery/view_provider_test.cc
+++ b/tests/discovery/view_provider_test.cc
@@ -31,12 +31,12 @@
     provider.onRequest({number, balancer(number), after, 0, 0, kAllParts}, socketOf(number));
   }
 
-  /** @return what was sent to a balancer's socket since the last call. */
+  /** @return the messages sent to a balancer's socket since the last call. */
   std::vector<ViewMessage> takeSent(std::uint32_t number) {
     return std::exchange(sent[socketOf(number)], {});
   }
 
-  /** @return the body that a balancer got in whole; fails where it got none. */
+  /** @return the complete body sent to a balancer; fails if there is none. */
   ViewBody bodyFor(std::uint32_t number) {
     ViewAssembly assembly;
     for (const ViewMessage& message : takeSent(number)) {
@@ -46,7 +46,7 @@
     return decodeViewBody(assembly.body()).value();
   }
 
-  /** Makes the view so large that one copy takes 10 ms of the link. */
+  /** Enlarges the view so that one copy takes 10 ms on the link. */
   void makeLarge() {
     const auto noise_random = makeSeededRandom(5);
     std::string noise(25000, ' ');
@@ -71,7 +71,7 @@
       time,      [this](Endpoint to, const ViewMessage& message) { sent[to].push_back(message); }};
 };
 
-TEST_CASE("a whole view is told with the balancers that are known", "[view_provider]") {
+TEST_CASE("a whole view is sent together with the addresses of known peers", "[view_provider]") {
   ProviderHarness harness;
   harness.directory.onAlive(balancer(5));
   harness.sendRequest(7);
@@ -81,11 +81,11 @@
   REQUIRE(body.changes.size() == 1);
   CHECK(body.changes[0].item.key == "a");
   CHECK(std::count(body.peers.begin(), body.peers.end(), KnownPeer(balancer(5))) == 1);
-  // Who asks is known from then on.
+  // The requester has been added to the directory.
   CHECK(harness.directory.recent().size() == 2);
 }
 
-TEST_CASE("changes are told alone, and refused where their history is not known",
+TEST_CASE("only changes are sent after a known revision, and refused if history is missing",
           "[view_provider]") {
   ProviderHarness harness;
   harness.content.apply(written("b", 12));
@@ -109,7 +109,8 @@
   CHECK_FALSE(std::get<ViewRefusal>(refused.front()).status.serves_view);
 }
 
-TEST_CASE("who asks before there is a view is answered once it is there", "[view_provider]") {
+TEST_CASE("a request before the first view is queued and answered once the view is ready",
+          "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
   harness.sendRequest(7);
@@ -124,7 +125,7 @@
   CHECK(harness.sent[socketOf(7)].empty());
 }
 
-TEST_CASE("changes are not waited for: who has a view asks somebody else", "[view_provider]") {
+TEST_CASE("a request for changes is not queued while there is no view", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
   harness.sendRequest(8, 10);
@@ -134,7 +135,7 @@
   CHECK(harness.sent[socketOf(8)].empty());
 }
 
-TEST_CASE("who asked long ago has turned to another balancer", "[view_provider]") {
+TEST_CASE("a queued request expires after its time to live", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
   harness.sendRequest(7);
@@ -145,14 +146,14 @@
   CHECK(harness.takeSent(7).empty());
 }
 
-TEST_CASE("who waits is sent to a balancer that shows a view, but not as the fleet starts",
+TEST_CASE("a queued requester is referred to a peer with a view, but not during fleet start",
           "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
   harness.sendRequest(7);
   harness.takeSent(7);
   harness.sendRequest(8, 10);
-  // This balancer is about to have a view as well: nobody is sent away at once.
+  // This balancer is about to get its own view, so it does not refer requesters yet.
   harness.sendRequest(7);
   CHECK(std::get<ViewRefusal>(harness.takeSent(7).front()).is_queued);
   harness.time.elapsed += harness.settings.referral_startup_delay;
@@ -166,7 +167,7 @@
   CHECK(std::get<ViewRefusal>(harness.takeSent(9).front()).is_queued);
 }
 
-TEST_CASE("another balancer's view is handed on as it came while there is no own one",
+TEST_CASE("a peer's view is relayed unchanged while this balancer has no view of its own",
           "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
@@ -178,20 +179,20 @@
   CHECK(body.at == 30);
   harness.sendRequest(8);
   CHECK(harness.bodyFor(8).at == 30);
-  SECTION("its age grows, and it has no changes to tell") {
+  SECTION("its age increases, and requests for changes are refused") {
     harness.time.elapsed += milliseconds(500);
     harness.sendRequest(8);
     CHECK(std::get<ViewPart>(harness.takeSent(8).front()).status.age_ms == 700);
     harness.sendRequest(9, 20);
     CHECK(std::holds_alternative<ViewRefusal>(harness.takeSent(9).front()));
   }
-  SECTION("the own view takes its place") {
+  SECTION("this balancer's view replaces it") {
     harness.serves = true;
     harness.provider.onViewReady();
     harness.sendRequest(9);
     CHECK(harness.bodyFor(9).at == 10);
   }
-  SECTION("none is adopted where there is an own one") {
+  SECTION("no view is adopted once this balancer has its own") {
     harness.serves = true;
     harness.provider.onViewReady();
     harness.provider.adopt(encodeViewBody(other), {30, 200, true});
@@ -200,7 +201,7 @@
   }
 }
 
-TEST_CASE("the queue is bounded", "[view_provider]") {
+TEST_CASE("the queue for the first view is bounded", "[view_provider]") {
   ProviderHarness harness;
   harness.serves = false;
   for (std::uint32_t number = 1; number <= harness.settings.max_queued_requests + 1; ++number) {
@@ -211,7 +212,7 @@
   CHECK_FALSE(std::get<ViewRefusal>(harness.takeSent(last).front()).is_queued);
 }
 
-TEST_CASE("beyond what the link takes, who asks waits or is sent to one that has a copy before",
+TEST_CASE("with the link saturated, requesters wait or are referred to earlier receivers",
           "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
@@ -236,14 +237,14 @@
     CHECK(refusal.others.front().address < number);
     ++referrals[refusal.others.front()];
   }
-  // Four copies of 10 ms go beyond the 30 ms that may wait.
+  // Four copies of 10 ms each exceed the permitted backlog of 30 ms.
   CHECK(served >= 3);
   CHECK(served <= 4);
-  // Nobody carries a large part of the others.
+  // No receiver is assigned a large part of the others.
   for (const auto& [balancer, count] : referrals) {
     CHECK(count <= 10);
   }
-  // Most of the others are not for this link to carry.
+  // Most of the others are not served over this link.
   CHECK(waiting.size() <= 20);
   CHECK(harness.provider.counters().queued == waiting.size());
   harness.provider.onRequest(
@@ -255,12 +256,12 @@
   for (const std::uint32_t number : waiting) {
     CHECK(harness.bodyFor(number).is_whole);
   }
-  // Small changes always go.
+  // Small changes are always sent.
   harness.sendRequest(50, 20);
   CHECK(std::holds_alternative<ViewPart>(harness.takeSent(50).front()));
 }
 
-TEST_CASE("strong links are served first, and carry the copies of the weak ones",
+TEST_CASE("receivers with fast links are served first and relay to those with slow links",
           "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
@@ -287,7 +288,7 @@
   CHECK(referrals_to_slow == 0);
 }
 
-TEST_CASE("a balancer that comes again was not served: its sender is not named again",
+TEST_CASE("a repeated request is not referred to the sender that failed to serve it",
           "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
@@ -303,7 +304,7 @@
     referred_sender =
         refusal != nullptr && !refusal->others.empty() ? refusal->others.front() : Endpoint();
   }
-  // The same request again: the answer was lost.
+  // Retransmission of the same request, as after a lost answer.
   const ViewRequest request{requester, balancer(requester), 0, 0, 0, kAllParts, linkClassOf(20)};
   harness.provider.onRequest(request, socketOf(requester));
   CHECK(std::get<ViewRefusal>(harness.takeSent(requester).front()).others.front() ==
@@ -319,7 +320,7 @@
   }
 }
 
-TEST_CASE("a large change is handed on by those that have it, a small one goes to everybody",
+TEST_CASE("a large change is relayed by its first receivers, a small one is sent to every follower",
           "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
@@ -336,17 +337,17 @@
     REQUIRE(refusal.others.size() == 1);
     CHECK(refusal.others.front() != balancer(number));
   }
-  // Four copies of 10 ms go beyond the 30 ms that may wait.
+  // Four copies of 10 ms each exceed the permitted backlog of 30 ms.
   CHECK(served >= 3);
   CHECK(served <= 4);
-  // Who has it hears of the next server at once, however full the link is.
+  // A receiver that is up to date gets the next small change at once, whatever the backlog.
   harness.content.apply(written("b", 21));
   harness.content.setPosition(21);
   harness.sendRequest(1, 20);
   CHECK(harness.bodyFor(1).changes.size() == 1);
 }
 
-TEST_CASE("only the parts that are missing are sent again", "[view_provider]") {
+TEST_CASE("only missing parts are resent", "[view_provider]") {
   ProviderHarness harness;
   harness.makeLarge();
   harness.sendRequest(7);
@@ -359,7 +360,7 @@
   }
   ViewRequest resend{7, balancer(7), 0, 0, 0, 0};
   assembly.fillRequest(resend);
-  SECTION("of the same body, also where the view has changed since") {
+  SECTION("from the same body, even if the view has changed since") {
     harness.content.apply(written("b", 30));
     harness.content.setPosition(30);
     harness.provider.onRequest(resend, socketOf(7));
@@ -370,20 +371,20 @@
     }
     CHECK(assembly.isComplete());
   }
-  SECTION("or all, where the balancer that asks has begun with another one's body") {
+  SECTION("all parts, if the requester holds parts of a different body") {
     resend.request = 77;
     resend.body_hash = 1234;
     harness.provider.onRequest(resend, socketOf(7));
     CHECK(harness.bodyFor(7).at == 20);
   }
-  SECTION("of that body too, where another balancer sent the others") {
+  SECTION("from the same body, if another balancer sent the other parts") {
     resend.request = 78;
     harness.provider.onRequest(resend, socketOf(7));
     CHECK(harness.takeSent(7).size() == 2);
   }
 }
 
-TEST_CASE("who starts late in a crowd is told of the others in it", "[view_provider]") {
+TEST_CASE("a whole view lists balancers that requested it shortly before", "[view_provider]") {
   ProviderHarness harness;
   harness.sendRequest(7);
   harness.takeSent(7);
@@ -393,7 +394,7 @@
   CHECK(std::count(body.peers.begin(), body.peers.end(), KnownPeer(balancer(7))) == 1);
 }
 
-TEST_CASE("a balancer tells whom it knows, and comes to know who asks", "[view_provider]") {
+TEST_CASE("a peers request returns the known peers and adds the requester", "[view_provider]") {
   ProviderHarness harness;
   harness.directory.onAlive(balancer(5));
   harness.provider.onPeersRequest({77, balancer(7)}, socketOf(7));
--- a/tests/discovery/view_spread_plan_test.cc
+++ b/tests/discovery/view_spread_plan_test.cc
@@ -25,12 +25,13 @@
   }
 };
 
-TEST_CASE("the first copy is sent by who has the view", "[view_spread_plan]") {
+TEST_CASE("the first copy is sent by the balancer that has the view", "[view_spread_plan]") {
   PlanHarness harness;
   CHECK_FALSE(harness.assignSender(1, kSlowClass).isSet());
 }
 
-TEST_CASE("a copy comes from who is free first, strong links carry most", "[view_spread_plan]") {
+TEST_CASE("copies come from the sender that is free first; fast links carry most of them",
+          "[view_spread_plan]") {
   PlanHarness harness;
   std::map<Endpoint, int> copies;
   for (std::uint32_t number = 1; number <= 330; ++number) {
@@ -42,13 +43,13 @@
   int copies_from_fast = 0;
   for (const auto& [sender, count] : copies) {
     copies_from_fast += sender.address <= 17 ? count : 0;
-    // Seventeen strong links and the own one share 330 copies.
+    // Seventeen peers with fast links and this balancer share 330 copies.
     CHECK(count <= 2 * 330 / 18);
   }
   CHECK(copies_from_fast > 250);
 }
 
-TEST_CASE("who comes again is served here, and its sender is not named again",
+TEST_CASE("a repeated request is served by this balancer and its previous sender is not used again",
           "[view_spread_plan]") {
   PlanHarness harness;
   std::uint32_t number = 1;
@@ -63,7 +64,7 @@
   }
 }
 
-TEST_CASE("senders are forgotten after a while", "[view_spread_plan]") {
+TEST_CASE("senders expire after their time to live", "[view_spread_plan]") {
   PlanHarness harness;
   for (std::uint32_t number = 1; number <= 50; ++number) {
     harness.assignSender(number, kSlowClass);
