--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -134,7 +134,7 @@
 }
 
 bool PacketNode::backendsAreSettled() const {
-  return follower_.unsettledFor() == Duration::zero();
+  return follower_.timeUntilSettled() == Duration::zero();
 }
 
 ViewStamp PacketNode::viewStamp() const {
@@ -244,7 +244,7 @@
               {"age_ms", toMilliseconds(follower_.age())}});
 }
 
-void PacketNode::onSourceRegained(Duration lost_for) {
+void PacketNode::onSourceRecovered(Duration lost_for) {
   log_.write(LogLevel::Info, "discovery", "platform_regained",
              {{"lost_for_ms", toMilliseconds(lost_for)}});
 }
@@ -296,7 +296,7 @@
     return;
   }
   retirement_pending_ = true;
-  scheduler_.callAfter(follower_.unsettledFor(), [this] {
+  scheduler_.callAfter(follower_.timeUntilSettled(), [this] {
     retirement_pending_ = false;
     if (!backendsAreSettled()) {
       scheduleRetirement();
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -188,7 +188,7 @@
   void onComplete(ViewOrigin origin) override;
   void onCaughtUp() override;
   void onSourceLost(SourceError cause) override;
-  void onSourceRegained(Duration lost_for) override;
+  void onSourceRecovered(Duration lost_for) override;
 
   void connectObservations();
   void logFirstView(ViewOrigin origin);
--- a/src/discovery/view_assembly.cc
+++ b/src/discovery/view_assembly.cc
@@ -9,13 +9,13 @@
     return false;
   }
   const bool is_other_body = part.body_hash != body_hash_ || part.body_bytes != body_.size();
-  const bool is_older = hasBegun() && part.status.position < status_.position;
+  const bool is_older = hasParts() && part.status.position < status_.position;
   if (is_other_body && is_older) {
     return false;
   }
-  const std::size_t begin_at = static_cast<std::size_t>(part.part) * kPartBytes;
-  if (begin_at >= part.body_bytes ||
-      part.bytes.size() != std::min<std::size_t>(kPartBytes, part.body_bytes - begin_at)) {
+  const std::size_t byte_offset = static_cast<std::size_t>(part.part) * kPartBytes;
+  if (byte_offset >= part.body_bytes ||
+      part.bytes.size() != std::min<std::size_t>(kPartBytes, part.body_bytes - byte_offset)) {
     return false;
   }
   if (is_other_body) {
@@ -26,9 +26,9 @@
     return false;
   }
   has_part_[part.part] = true;
-  --missing_;
+  --missing_count_;
   std::copy(part.bytes.begin(), part.bytes.end(),
-            body_.begin() + static_cast<std::ptrdiff_t>(begin_at));
+            body_.begin() + static_cast<std::ptrdiff_t>(byte_offset));
   return true;
 }
 
@@ -56,8 +56,8 @@
 void ViewAssembly::begin(const ViewPart& part) {
   body_hash_ = part.body_hash;
   body_.assign(part.body_bytes, 0);
-  missing_ = partCount(part.body_bytes);
-  has_part_.assign(missing_, false);
+  missing_count_ = partCount(part.body_bytes);
+  has_part_.assign(missing_count_, false);
 }
 
 }  // namespace lugfork
--- a/src/discovery/view_assembly.h
+++ b/src/discovery/view_assembly.h
@@ -11,13 +11,13 @@
   bool onPart(const ViewPart& part);
 
   /** @return true once no part is missing; the hash may still be wrong. */
-  bool hasAllParts() const { return hasBegun() && missing_ == 0; }
+  bool hasAllParts() const { return hasParts() && missing_count_ == 0; }
 
   /** Parts have come, and this is all of a body whose hash is right. */
   bool isComplete() const;
 
   /** @return true once a part has come. */
-  bool hasBegun() const { return body_hash_ != 0; }
+  bool hasParts() const { return body_hash_ != 0; }
 
   /** Sets which parts a request is to ask for: the first ones that are missing. */
   void fillRequest(ViewRequest& request) const;
@@ -42,7 +42,7 @@
   std::uint64_t body_hash_ = 0;
   Bytes body_;
   std::vector<bool> has_part_;
-  std::uint32_t missing_ = 0;
+  std::uint32_t missing_count_ = 0;
 };
 
 }  // namespace lugfork
--- a/src/discovery/view_client.cc
+++ b/src/discovery/view_client.cc
@@ -184,7 +184,7 @@
 
 void ViewClient::resend(PendingView& pending) {
   ViewRequest request = pending.request;
-  if (pending.assembly.hasBegun()) {
+  if (pending.assembly.hasParts()) {
     pending.assembly.fillRequest(request);
   }
   send_(pending.peer, request);
@@ -194,7 +194,7 @@
   auto found = views_.extract(id);
   PendingView& pending = found.mapped();
   // With all parts present but a wrong hash, the next sender would be asked for no part at all.
-  const bool can_resume = pending.assembly.hasBegun() && !pending.assembly.hasAllParts();
+  const bool can_resume = pending.assembly.hasParts() && !pending.assembly.hasAllParts();
   if (pending.request.after == 0 && can_resume) {
     partial_assembly_ = std::move(pending.assembly);
   }
--- a/src/discovery/view_follower.cc
+++ b/src/discovery/view_follower.cc
@@ -26,16 +26,16 @@
 
 void ViewFollower::start() {
   failing_since_ = time_source_.monotonicTime();
-  startFullRead(settings_.first_read);
+  startFullRead(settings_.first_read_consistency);
 }
 
 bool ViewFollower::isFresh() const {
-  return caught_up_ && age() <= settings_.watch_wait + settings_.fresh_for;
+  return caught_up_ && age() <= settings_.watch_wait + settings_.max_answer_age;
 }
 
-Duration ViewFollower::unsettledFor() const {
-  const Duration since_return = time_source_.monotonicTime() - returned_at_;
-  return std::max(Duration::zero(), settings_.settle_time - since_return);
+Duration ViewFollower::timeUntilSettled() const {
+  const Duration since_recovery = time_source_.monotonicTime() - recovered_at_;
+  return std::max(Duration::zero(), settings_.settle_window - since_recovery);
 }
 
 void ViewFollower::startFullRead(ReadConsistency consistency) {
@@ -65,12 +65,12 @@
   if (is_whole_view) {
     view_.startFullRead();
   }
-  const bool goes_on = page.more && !page.items.empty();
-  if (goes_on) {
+  const bool has_more = page.more && !page.items.empty();
+  if (has_more) {
     page_after_key_ = page.items.back().key;
   }
-  tell(view_.applyPage(std::move(page)));
-  if (goes_on) {
+  reportItems(view_.applyPage(std::move(page)));
+  if (has_more) {
     readNextPage();
     return;
   }
@@ -78,7 +78,7 @@
 }
 
 void ViewFollower::finishFullRead(bool is_whole_view) {
-  tell(view_.finishFullRead());
+  reportItems(view_.finishFullRead());
   watch_after_ = view_.fullReadRevision();
   view_.setPosition(watch_after_);
   if (!complete_) {
@@ -120,56 +120,56 @@
   onAnswer(milliseconds(changes.age_ms));
   watch_after_ = std::max(watch_after_, changes.at);
   view_.setPosition(watch_after_);
-  std::vector<ItemChange> news;
+  std::vector<ItemChange> newer;
   for (const ItemChange& change : changes.changes) {
     if (view_.apply(change)) {
-      news.push_back(change);
+      newer.push_back(change);
     }
   }
-  tell(news);
+  reportItems(newer);
   setCaughtUp();
   scheduler_.callAfter(Duration::zero(), [this] { startWatch(settings_.watch_wait); });
 }
 
 void ViewFollower::onAnswer(Duration answer_age) {
   const MonotonicTime now = time_source_.monotonicTime();
-  const MonotonicTime told_at = now - answer_age;
-  if (told_at - answered_at_ > settings_.away_after) {
-    returned_at_ = now;
+  const MonotonicTime confirmed_at = now - answer_age;
+  if (confirmed_at - answered_at_ > settings_.outage_threshold) {
+    recovered_at_ = now;
   }
-  answered_at_ = std::max(answered_at_, told_at);
-  if (failures_in_row_ > 0) {
-    failures_in_row_ = 0;
-    host_.onSourceRegained(now - failing_since_);
+  answered_at_ = std::max(answered_at_, confirmed_at);
+  if (consecutive_failures_ > 0) {
+    consecutive_failures_ = 0;
+    host_.onSourceRecovered(now - failing_since_);
   }
 }
 
 void ViewFollower::onError(SourceError error) {
   ++counters_.errors[static_cast<std::size_t>(error)];
-  if (failures_in_row_ == 0) {
+  if (consecutive_failures_ == 0) {
     failing_since_ = time_source_.monotonicTime();
   }
-  const bool news = failures_in_row_ == 0 || error != last_error_;
-  ++failures_in_row_;
+  const bool is_new = consecutive_failures_ == 0 || error != last_error_;
+  ++consecutive_failures_;
   last_error_ = error;
-  if (news) {
+  if (is_new) {
     host_.onSourceLost(error);
   }
 }
 
 void ViewFollower::retry(std::function<void()> function) {
-  const std::uint32_t doublings = std::min(failures_in_row_ - 1, kMaxDoublings);
-  const Duration pause =
-      std::min(settings_.retry_longest, settings_.retry_first * (1U << doublings));
-  const double part = 0.5 + 0.5 * random_.unit();
+  const std::uint32_t doublings = std::min(consecutive_failures_ - 1, kMaxDoublings);
+  const Duration delay =
+      std::min(settings_.max_retry_delay, settings_.min_retry_delay * (1U << doublings));
+  const double jitter = 0.5 + 0.5 * random_.unit();
   scheduler_.callAfter(
-      Duration(static_cast<std::int64_t>(static_cast<double>(pause.count()) * part)),
+      Duration(static_cast<std::int64_t>(static_cast<double>(delay.count()) * jitter)),
       std::move(function));
 }
 
-void ViewFollower::tell(const std::vector<ItemChange>& news) {
-  if (!news.empty()) {
-    host_.onItems(news);
+void ViewFollower::reportItems(const std::vector<ItemChange>& changes) {
+  if (!changes.empty()) {
+    host_.onItems(changes);
   }
 }
 
--- a/src/discovery/view_follower.h
+++ b/src/discovery/view_follower.h
@@ -13,20 +13,20 @@
   /** Longest time for which a watch is held open without a change. */
   Duration watch_wait = seconds(1);
   /** Pause after a failed call: doubles from the first to the longest, half of it random. */
-  Duration retry_first = milliseconds(100);
-  Duration retry_longest = seconds(1);
+  Duration min_retry_delay = milliseconds(100);
+  Duration max_retry_delay = seconds(1);
   /** Answers older than this, and a bit more than a watch, no longer prove that the view is new. */
-  Duration fresh_for = seconds(4);
+  Duration max_answer_age = seconds(4);
   /**
    * A source that told nothing for longer than this was away, and entries may have lapsed with it.
    * Longer than a follower needs to leave a balancer whose view grows old (design note 0012): what
    * vanishes then was taken away by its owner.
    */
-  Duration away_after = seconds(3);
+  Duration outage_threshold = seconds(3);
   /** Time after a source's return in which living servers write lapsed entries again. */
-  Duration settle_time = seconds(2);
+  Duration settle_window = seconds(2);
   /** Whether the first full read may be served by a lagging replica; a watch then catches up. */
-  ReadConsistency first_read = ReadConsistency::MayBeStale;
+  ReadConsistency first_read_consistency = ReadConsistency::MayBeStale;
 };
 
 /** Who told the first view. */
@@ -50,7 +50,7 @@
   virtual void onSourceLost(SourceError cause) = 0;
 
   /** A call succeeded after failures. */
-  virtual void onSourceRegained(Duration lost_for) = 0;
+  virtual void onSourceRecovered(Duration lost_for) = 0;
 };
 
 /** Counts of a ViewFollower since its start. */
@@ -93,7 +93,7 @@
    * @return time until entries that lapsed while the source was away are back, if ever; zero where
    * the source has been answering for long enough. What a start finds may have lapsed just as well.
    */
-  Duration unsettledFor() const;
+  Duration timeUntilSettled() const;
 
   /** @return time since the platform told the newest of what is known. */
   Duration age() const { return time_source_.monotonicTime() - answered_at_; }
@@ -114,7 +114,7 @@
   void onError(SourceError error);
   /** Calls the function after a pause that grows with the failures in a row. */
   void retry(std::function<void()> function);
-  void tell(const std::vector<ItemChange>& news);
+  void reportItems(const std::vector<ItemChange>& changes);
 
   const std::string prefix_;
   const ViewFollowerSettings settings_;
@@ -127,12 +127,12 @@
   ReadConsistency consistency_ = ReadConsistency::Latest;
   std::string page_after_key_;
   Revision watch_after_ = 0;
-  std::uint32_t failures_in_row_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
   SourceError last_error_ = SourceError::NoAnswer;
   MonotonicTime failing_since_;
   MonotonicTime answered_at_;
   /** When the source told something after it had been away, or for the first time. */
-  MonotonicTime returned_at_;
+  MonotonicTime recovered_at_;
   bool complete_ = false;
   /** A watch has been answered since the view became complete. */
   bool caught_up_ = false;
--- a/tests/discovery/fleet_start_test.cc
+++ b/tests/discovery/fleet_start_test.cc
@@ -214,7 +214,7 @@
   void onComplete(ViewOrigin) override { complete_at = fleet.time.monotonicTime(); }
   void onCaughtUp() override { provider.onViewReady(); }
   void onSourceLost(SourceError) override {}
-  void onSourceRegained(Duration) override {}
+  void onSourceRecovered(Duration) override {}
   const ItemView& view() const override { return follower.view(); }
   ViewStatus viewStatus() const override {
     return {follower.view().position(), toWireMilliseconds(follower.age()), follower.isCaughtUp()};
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -66,7 +66,7 @@
   void onComplete(ViewOrigin) override {}
   void onCaughtUp() override {}
   void onSourceLost(SourceError) override {}
-  void onSourceRegained(Duration) override {}
+  void onSourceRecovered(Duration) override {}
 
   bool follows() { return !selector.upstreams().empty(); }
 
--- a/tests/discovery/view_assembly_test.cc
+++ b/tests/discovery/view_assembly_test.cc
@@ -27,7 +27,7 @@
 TEST_CASE("parts in any order, and twice, make the body", "[view_assembly]") {
   const Bytes body = bodyOf(5000, 1);
   ViewAssembly assembly;
-  CHECK_FALSE(assembly.hasBegun());
+  CHECK_FALSE(assembly.hasParts());
   for (const std::uint32_t part : {4U, 0U, 3U, 1U}) {
     CHECK(assembly.onPart(partOf(body, part)));
     CHECK_FALSE(assembly.onPart(partOf(body, part)));
@@ -81,7 +81,7 @@
     part.bytes.push_back(0);
   }
   CHECK_FALSE(assembly.onPart(part));
-  CHECK_FALSE(assembly.hasBegun());
+  CHECK_FALSE(assembly.hasParts());
 }
 
 TEST_CASE("a body whose hash is wrong is never complete", "[view_assembly]") {
--- a/tests/discovery/view_follower_test.cc
+++ b/tests/discovery/view_follower_test.cc
@@ -16,16 +16,16 @@
   void onItems(const std::vector<ItemChange>& changes) override {
     for (const ItemChange& change : changes) {
       if (change.deleted) {
-        known.erase(change.item.key);
+        revisions.erase(change.item.key);
       } else {
-        known[change.item.key] = change.item.revision;
+        revisions[change.item.key] = change.item.revision;
       }
     }
   }
   void onComplete(ViewOrigin) override { ++completions; }
   void onCaughtUp() override { ++catch_ups; }
   void onSourceLost(SourceError cause) override { losses.push_back(cause); }
-  void onSourceRegained(Duration) override { ++regains; }
+  void onSourceRecovered(Duration) override { ++recoveries; }
 
   void answerPage(Result<ItemPage, SourceError> answer) {
     source.answerPage(kPrefix, std::move(answer));
@@ -47,14 +47,14 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   ViewFollowerSettings settings;
   ViewFollower follower{kPrefix, settings, source, scheduler, time, *random, *this};
-  std::map<std::string, Revision> known;
+  std::map<std::string, Revision> revisions;
   std::vector<SourceError> losses;
   int completions = 0;
   int catch_ups = 0;
-  int regains = 0;
+  int recoveries = 0;
 };
 
-using Known = std::map<std::string, Revision>;
+using Revisions = std::map<std::string, Revision>;
 
 TEST_CASE("a view is complete after all pages and fresh after one watch", "[view_follower]") {
   FollowerHarness harness;
@@ -72,7 +72,7 @@
   CHECK(harness.follower.isCaughtUp());
   CHECK(harness.follower.isFresh());
   CHECK(harness.completions == 1);
-  CHECK(harness.known == Known{{"things/b", 12}});
+  CHECK(harness.revisions == Revisions{{"things/b", 12}});
 }
 
 TEST_CASE("the first read may lag; without its history the newest is read", "[view_follower]") {
@@ -86,24 +86,24 @@
   harness.complete({item("things/b", 9)}, 10);
   CHECK(harness.follower.isCaughtUp());
   CHECK(harness.completions == 1);
-  CHECK(harness.known == Known{{"things/b", 9}});
+  CHECK(harness.revisions == Revisions{{"things/b", 9}});
 }
 
 TEST_CASE("nothing goes back, in whichever order answers come", "[view_follower]") {
   FollowerHarness harness;
   harness.complete({item("things/a", 5)}, 9);
   harness.answerWatch(ItemChanges{{written("things/a", 20), written("things/a", 15)}, 20});
-  CHECK(harness.known == Known{{"things/a", 20}});
+  CHECK(harness.revisions == Revisions{{"things/a", 20}});
   SECTION("also after a full read that lags behind") {
     harness.answerWatch(SourceError::HistoryGone);
     harness.complete({item("things/a", 15)}, 16);
-    CHECK(harness.known == Known{{"things/a", 20}});
+    CHECK(harness.revisions == Revisions{{"things/a", 20}});
   }
   SECTION("a key that was deleted is not brought back by a page that lags behind") {
     harness.answerWatch(ItemChanges{{deleted("things/a", 30)}, 30});
     harness.answerWatch(SourceError::HistoryGone);
     harness.complete({item("things/a", 20)}, 21);
-    CHECK(harness.known.empty());
+    CHECK(harness.revisions.empty());
   }
 }
 
@@ -112,9 +112,9 @@
   harness.complete({item("things/a", 5), item("things/b", 6)}, 9);
   harness.answerWatch(SourceError::HistoryGone);
   CHECK(harness.source.page_requests.back().consistency == ReadConsistency::Latest);
-  CHECK(harness.known.size() == 2);
+  CHECK(harness.revisions.size() == 2);
   harness.complete({item("things/b", 6)}, 40);
-  CHECK(harness.known == Known{{"things/b", 6}});
+  CHECK(harness.revisions == Revisions{{"things/b", 6}});
   CHECK(harness.completions == 1);
 }
 
@@ -125,7 +125,7 @@
   harness.answerWatch(SourceError::HistoryGone);
   // A replica that does not know the newest key yet.
   harness.complete({item("things/a", 5)}, 45);
-  CHECK(harness.known == Known{{"things/a", 5}, {"things/c", 50}});
+  CHECK(harness.revisions == Revisions{{"things/a", 5}, {"things/c", 50}});
 }
 
 TEST_CASE("no failure changes what is known", "[view_follower]") {
@@ -135,22 +135,22 @@
   FollowerHarness harness;
   harness.complete({item("things/a", 5)}, 9);
   harness.answerWatch(error);
-  CHECK(harness.known == Known{{"things/a", 5}});
+  CHECK(harness.revisions == Revisions{{"things/a", 5}});
   CHECK(harness.losses == std::vector<SourceError>{error});
   CHECK(harness.follower.counters().errors[static_cast<std::size_t>(error)] == 1);
 
   SECTION("the same watch is made again after a pause") {
     CHECK_FALSE(harness.source.hasWatch(kPrefix));
-    harness.scheduler.advance(harness.settings.retry_first);
+    harness.scheduler.advance(harness.settings.min_retry_delay);
     REQUIRE(harness.source.hasWatch(kPrefix));
     CHECK(harness.source.watch_requests.back().after == 9);
     harness.answerWatch(ItemChanges{{written("things/b", 10)}, 10});
-    CHECK(harness.regains == 1);
-    CHECK(harness.known.size() == 2);
+    CHECK(harness.recoveries == 1);
+    CHECK(harness.revisions.size() == 2);
   }
   SECTION("pauses grow to a limit, and one loss is told once") {
     for (int failure = 0; failure < 20; ++failure) {
-      harness.scheduler.advance(harness.settings.retry_longest);
+      harness.scheduler.advance(harness.settings.max_retry_delay);
       REQUIRE(harness.source.hasWatch(kPrefix));
       harness.answerWatch(error);
     }
@@ -162,10 +162,10 @@
   FollowerHarness harness;
   harness.answerPage(ItemPage{{item("things/a", 1)}, true, 10});
   harness.answerPage(SourceError::Throttled);
-  harness.scheduler.advance(harness.settings.retry_longest);
+  harness.scheduler.advance(harness.settings.max_retry_delay);
   CHECK(harness.source.page_requests.back().after_key == "things/a");
   harness.complete({item("things/b", 2)}, 10);
-  CHECK(harness.known.size() == 2);
+  CHECK(harness.revisions.size() == 2);
 }
 
 TEST_CASE("a view is fresh only while the store answers", "[view_follower]") {
@@ -173,7 +173,8 @@
   CHECK_FALSE(harness.follower.isFresh());
   harness.complete({}, 9);
   CHECK(harness.follower.isFresh());
-  harness.scheduler.advance(harness.settings.watch_wait + harness.settings.fresh_for + seconds(1));
+  harness.scheduler.advance(harness.settings.watch_wait + harness.settings.max_answer_age +
+                            seconds(1));
   CHECK_FALSE(harness.follower.isFresh());
 }
 
--- a/tests/sim/platform_item_source_test.cc
+++ b/tests/sim/platform_item_source_test.cc
@@ -23,7 +23,7 @@
   void onComplete(ViewOrigin) override {}
   void onCaughtUp() override {}
   void onSourceLost(SourceError cause) override { losses.push_back(cause); }
-  void onSourceRegained(Duration) override {}
+  void onSourceRecovered(Duration) override {}
 
   ManualTimeSource time;
   ManualScheduler scheduler{time};
