--- a/src/discovery/view_assembly.h
+++ b/src/discovery/view_assembly.h
@@ -4,30 +4,30 @@
 
 namespace lugfork {
 
-/** Puts a body together from its parts, in whichever order they come; a newer body wins. */
+/** Reassembles a body from its parts, in any order; a newer body replaces an older one. */
 class ViewAssembly {
  public:
-  /** @return true if the part was new. A part that fits no body is ignored. */
+  /** @return true if the part was new. Invalid parts and parts of an older body are ignored. */
   bool onPart(const ViewPart& part);
 
-  /** @return true once no part is missing; the hash may still be wrong. */
+  /** @return true once no part is missing; the hash has not been checked. */
   bool hasAllParts() const { return hasParts() && missing_count_ == 0; }
 
-  /** Parts have come, and this is all of a body whose hash is right. */
+  /** @return true if no part is missing and the body matches its hash. */
   bool isComplete() const;
 
-  /** @return true once a part has come. */
+  /** @return true once a part has been accepted. */
   bool hasParts() const { return body_hash_ != 0; }
 
-  /** Sets which parts a request is to ask for: the first ones that are missing. */
+  /** Makes a request ask for the missing parts, from the first one that is missing. */
   void fillRequest(ViewRequest& request) const;
 
-  /** The same, for parts from a number on; the mask is empty where none of them is missing. */
+  /** The same from a given part on; the mask is 0 if none of those parts is missing. */
   void fillRequest(ViewRequest& request, std::uint32_t first_part) const;
 
   std::uint64_t bodyHash() const { return body_hash_; }
 
-  /** @return the number of the body's parts, once one has come. */
+  /** @return the number of parts of the body; 0 before the first part. */
   std::uint32_t parts() const { return static_cast<std::uint32_t>(has_part_.size()); }
 
   /** @return the status that came with the newest part. */
--- a/src/discovery/view_follower.cc
+++ b/src/discovery/view_follower.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Wait of the watch that shows, right after a full read, what has changed since. */
+/** Wait of the watch right after a full read, which returns the changes made since. */
 constexpr Duration kCatchUpWait = milliseconds(1);
 constexpr std::uint32_t kMaxDoublings = 10;
 
@@ -82,7 +82,7 @@
   watch_after_ = view_.fullReadRevision();
   view_.setPosition(watch_after_);
   if (!complete_) {
-    // A lagging replica may have answered, but to serve by what it knows is better than to wait.
+    // A lagging replica may have answered; serving from its data is better than waiting.
     complete_ = true;
     host_.onComplete(is_whole_view ? ViewOrigin::Balancer : ViewOrigin::Store);
   }
--- a/src/discovery/view_follower.h
+++ b/src/discovery/view_follower.h
@@ -8,64 +8,65 @@
 
 namespace lugfork {
 
-/** Tunables of a ViewFollower. */
+/** Settings of ViewFollower. */
 struct ViewFollowerSettings {
-  /** Longest time for which a watch is held open without a change. */
+  /** Longest time that the source holds a watch open while nothing changes. */
   Duration watch_wait = seconds(1);
-  /** Pause after a failed call: doubles from the first to the longest, half of it random. */
+  /** Delay before a failed call is retried: doubles from min to max, half of it random. */
   Duration min_retry_delay = milliseconds(100);
   Duration max_retry_delay = seconds(1);
-  /** Answers older than this, and a bit more than a watch, no longer prove that the view is new. */
+  /** The view is fresh while its age is at most this plus the longest wait of a watch. */
   Duration max_answer_age = seconds(4);
   /**
-   * A source that told nothing for longer than this was away, and entries may have lapsed with it.
-   * Longer than a follower needs to leave a balancer whose view grows old (design note 0012): what
-   * vanishes then was taken away by its owner.
+   * Time without data after which the source counts as having been unavailable, so that entries may
+   * have expired during the outage. It is longer than a follower needs to leave an upstream with an
+   * aging view (design note 0012): entries that vanish in that case were removed by their owners.
    */
   Duration outage_threshold = seconds(3);
-  /** Time after a source's return in which living servers write lapsed entries again. */
+  /** Time after an outage of the source in which live backends rewrite expired entries. */
   Duration settle_window = seconds(2);
-  /** Whether the first full read may be served by a lagging replica; a watch then catches up. */
+  /** Whether a lagging replica may serve the first full read; a watch then catches up. */
   ReadConsistency first_read_consistency = ReadConsistency::MayBeStale;
 };
 
-/** Who told the first view. */
+/** Source of the first complete view. */
 enum class ViewOrigin { Store, Balancer };
 
-/** Takes what a ViewFollower learns. */
+/** Receives the events of a ViewFollower. */
 class ViewFollowerHost {
  public:
   virtual ~ViewFollowerHost() = default;
 
-  /** Items that are newer than what was known, in the order in which they were told. */
+  /** Changes that are newer than the view, in the order in which they were received. */
   virtual void onItems(const std::vector<ItemChange>& changes) = 0;
 
-  /** The view has become complete: the first full read is done. */
+  /** The first full read has finished: the view is complete. */
   virtual void onComplete(ViewOrigin origin) = 0;
 
-  /** From now on others may be told of the view. */
+  /** The view has caught up and may be served to peers from now on. */
   virtual void onCaughtUp() = 0;
 
-  /** A call failed; the first of a row of failures, or another cause than before. */
+  /** A call failed: the first of consecutive failures, or one with another cause than before. */
   virtual void onSourceLost(SourceError cause) = 0;
 
   /** A call succeeded after failures. */
   virtual void onSourceRecovered(Duration lost_for) = 0;
 };
 
-/** Counts of a ViewFollower since its start. */
+/** Counters of ViewFollower since its start. */
 struct ViewFollowerCounters {
   std::uint64_t pages = 0;
   std::uint64_t watches = 0;
   std::uint64_t full_reads = 0;
-  /** Items that were left out since they name no key or no revision. */
+  /** Items that were skipped because they have no key or no revision. */
   std::uint64_t items_unreadable = 0;
   std::uint64_t errors[static_cast<std::size_t>(SourceError::Last) + 1] = {};
 };
 
 /**
- * Keeps the view of one prefix current: a full read in pages, then one watch after the other. A
- * failure changes nothing that is known; lost history leads to another full read.
+ * Keeps the view of one prefix up to date: a full read in pages, then one watch after another. A
+ * failed call leaves the view unchanged; if the source no longer has the history, all items are
+ * read again.
  */
 class ViewFollower {
  public:
@@ -78,24 +79,25 @@
   bool isComplete() const { return complete_; }
 
   /**
-   * @return true once a watch has shown what came since the first full read, which a lagging
-   * replica may have answered; only then others may be told of this view.
+   * @return true once a watch has delivered the changes since the first full read, which a lagging
+   * replica may have answered. The view must not be served to peers before.
    */
   bool isCaughtUp() const { return caught_up_; }
 
   /**
-   * @return true if the source has answered lately enough that the view is the newest; false until
-   * it is caught up.
+   * @return true if the source has answered recently enough for the view to count as current; false
+   * until the view has caught up.
    */
   bool isFresh() const;
 
   /**
-   * @return time until entries that lapsed while the source was away are back, if ever; zero where
-   * the source has been answering for long enough. What a start finds may have lapsed just as well.
+   * @return time until entries that expired during an outage of the source count as gone unless
+   * they have been rewritten; zero if the source has been available for long enough. A start counts
+   * as the end of an outage, since entries may have expired before it too.
    */
   Duration timeUntilSettled() const;
 
-  /** @return time since the platform told the newest of what is known. */
+  /** @return time since the platform confirmed the view's newest state. */
   Duration age() const { return time_source_.monotonicTime() - answered_at_; }
 
   Revision revision() const { return view_.newestRevision(); }
@@ -112,7 +114,7 @@
   void onChanges(const Result<ItemChanges, SourceError>& answer);
   void onAnswer(Duration answer_age);
   void onError(SourceError error);
-  /** Calls the function after a pause that grows with the failures in a row. */
+  /** Calls the function after a delay that grows with consecutive failures. */
   void retry(std::function<void()> function);
   void reportItems(const std::vector<ItemChange>& changes);
 
@@ -131,7 +133,7 @@
   SourceError last_error_ = SourceError::NoAnswer;
   MonotonicTime failing_since_;
   MonotonicTime answered_at_;
-  /** When the source told something after it had been away, or for the first time. */
+  /** Time of the first answer, or of the first one after the last outage. */
   MonotonicTime recovered_at_;
   bool complete_ = false;
   /** A watch has been answered since the view became complete. */
--- a/tests/discovery/view_assembly_test.cc
+++ b/tests/discovery/view_assembly_test.cc
@@ -24,7 +24,7 @@
           Bytes(body.begin() + static_cast<long>(begin), body.begin() + static_cast<long>(end))};
 }
 
-TEST_CASE("parts in any order, and twice, make the body", "[view_assembly]") {
+TEST_CASE("parts in any order and duplicate parts complete the body", "[view_assembly]") {
   const Bytes body = bodyOf(5000, 1);
   ViewAssembly assembly;
   CHECK_FALSE(assembly.hasParts());
@@ -43,7 +43,7 @@
   CHECK(assembly.body() == body);
 }
 
-TEST_CASE("a newer body takes the place of an older one, never the other way", "[view_assembly]") {
+TEST_CASE("a newer body replaces an older one, never the reverse", "[view_assembly]") {
   const Bytes older = bodyOf(3000, 1);
   const Bytes newer = bodyOf(2000, 2);
   ViewAssembly assembly;
@@ -55,36 +55,36 @@
   CHECK(assembly.body() == newer);
 }
 
-TEST_CASE("parts that fit no body are ignored", "[view_assembly]") {
+TEST_CASE("invalid parts are ignored", "[view_assembly]") {
   const Bytes body = bodyOf(3000, 1);
   ViewAssembly assembly;
   ViewPart part = partOf(body, 0);
-  SECTION("no size") {
+  SECTION("body size 0") {
     part.body_bytes = 0;
   }
-  SECTION("too large") {
+  SECTION("body too large") {
     part.body_bytes = kMaxBodyBytes + 1;
   }
-  SECTION("no hash") {
+  SECTION("hash 0") {
     part.body_hash = 0;
   }
-  SECTION("a part behind the end") {
+  SECTION("part just past the end") {
     part.part = 3;
   }
-  SECTION("a part far behind the end") {
+  SECTION("part far past the end") {
     part.part = ~0U;
   }
-  SECTION("too few bytes") {
+  SECTION("part too short") {
     part.bytes.pop_back();
   }
-  SECTION("too many bytes") {
+  SECTION("part too long") {
     part.bytes.push_back(0);
   }
   CHECK_FALSE(assembly.onPart(part));
   CHECK_FALSE(assembly.hasParts());
 }
 
-TEST_CASE("a body whose hash is wrong is never complete", "[view_assembly]") {
+TEST_CASE("a body with a wrong hash is never complete", "[view_assembly]") {
   const Bytes body = bodyOf(1000, 1);
   ViewPart part = partOf(body, 0);
   part.bytes[5] ^= 1;
--- a/tests/discovery/view_follower_test.cc
+++ b/tests/discovery/view_follower_test.cc
@@ -9,7 +9,7 @@
 
 const std::string kPrefix = "things/";
 
-/** A follower, what it told, and the store that the test plays. */
+/** A follower, the events it reported, and a store with scripted answers. */
 struct FollowerHarness : ViewFollowerHost {
   FollowerHarness() { follower.start(); }
 
@@ -35,7 +35,7 @@
     scheduler.advance(Duration::zero());
   }
 
-  /** Goes through a full read with these items and the watch that completes it. */
+  /** Answers a full read with these items, then the watch that follows it. */
   void complete(std::vector<Item> items, Revision at) {
     answerPage(ItemPage{std::move(items), false, at});
     answerWatch(ItemChanges{{}, at});
@@ -56,7 +56,7 @@
 
 using Revisions = std::map<std::string, Revision>;
 
-TEST_CASE("a view is complete after all pages and fresh after one watch", "[view_follower]") {
+TEST_CASE("a view is complete after all pages and fresh after the first watch", "[view_follower]") {
   FollowerHarness harness;
   harness.answerPage(ItemPage{{item("things/a", 1)}, true, 10});
   CHECK(harness.source.page_requests.back().after_key == "things/a");
@@ -66,7 +66,7 @@
   CHECK(harness.completions == 1);
   CHECK_FALSE(harness.follower.isCaughtUp());
   CHECK_FALSE(harness.follower.isFresh());
-  // Pages form no snapshot: the watch goes on from the first one.
+  // Pages are not a snapshot, so the watch continues from the first page's revision.
   CHECK(harness.source.watch_requests.back().after == 10);
   harness.answerWatch(ItemChanges{{deleted("things/a", 11)}, 12});
   CHECK(harness.follower.isCaughtUp());
@@ -75,7 +75,8 @@
   CHECK(harness.revisions == Revisions{{"things/b", 12}});
 }
 
-TEST_CASE("the first read may lag; without its history the newest is read", "[view_follower]") {
+TEST_CASE("the first read may be stale; if its history is gone, the latest items are read",
+          "[view_follower]") {
   FollowerHarness harness;
   CHECK(harness.source.page_requests.back().consistency == ReadConsistency::MayBeStale);
   harness.answerPage(ItemPage{{item("things/a", 1)}, false, 4});
@@ -89,17 +90,18 @@
   CHECK(harness.revisions == Revisions{{"things/b", 9}});
 }
 
-TEST_CASE("nothing goes back, in whichever order answers come", "[view_follower]") {
+TEST_CASE("items never revert to an older revision, whatever the order of answers",
+          "[view_follower]") {
   FollowerHarness harness;
   harness.complete({item("things/a", 5)}, 9);
   harness.answerWatch(ItemChanges{{written("things/a", 20), written("things/a", 15)}, 20});
   CHECK(harness.revisions == Revisions{{"things/a", 20}});
-  SECTION("also after a full read that lags behind") {
+  SECTION("after a full read from a lagging replica") {
     harness.answerWatch(SourceError::HistoryGone);
     harness.complete({item("things/a", 15)}, 16);
     CHECK(harness.revisions == Revisions{{"things/a", 20}});
   }
-  SECTION("a key that was deleted is not brought back by a page that lags behind") {
+  SECTION("a deleted key is not restored by a stale page") {
     harness.answerWatch(ItemChanges{{deleted("things/a", 30)}, 30});
     harness.answerWatch(SourceError::HistoryGone);
     harness.complete({item("things/a", 20)}, 21);
@@ -107,7 +109,7 @@
   }
 }
 
-TEST_CASE("lost history leads to a full read that finds deletions", "[view_follower]") {
+TEST_CASE("a full read after lost history detects deletions", "[view_follower]") {
   FollowerHarness harness;
   harness.complete({item("things/a", 5), item("things/b", 6)}, 9);
   harness.answerWatch(SourceError::HistoryGone);
@@ -118,17 +120,17 @@
   CHECK(harness.completions == 1);
 }
 
-TEST_CASE("a key written after the first page is not taken for deleted", "[view_follower]") {
+TEST_CASE("a key written after the first page is not treated as deleted", "[view_follower]") {
   FollowerHarness harness;
   harness.complete({item("things/a", 5)}, 9);
   harness.answerWatch(ItemChanges{{written("things/c", 50)}, 50});
   harness.answerWatch(SourceError::HistoryGone);
-  // A replica that does not know the newest key yet.
+  // Answer of a replica that does not have the newest key yet.
   harness.complete({item("things/a", 5)}, 45);
   CHECK(harness.revisions == Revisions{{"things/a", 5}, {"things/c", 50}});
 }
 
-TEST_CASE("no failure changes what is known", "[view_follower]") {
+TEST_CASE("a failed call leaves the view unchanged", "[view_follower]") {
   const SourceError error =
       GENERATE(SourceError::NotFound, SourceError::Throttled, SourceError::Unavailable,
                SourceError::NoAnswer, SourceError::Malformed);
@@ -139,7 +141,7 @@
   CHECK(harness.losses == std::vector<SourceError>{error});
   CHECK(harness.follower.counters().errors[static_cast<std::size_t>(error)] == 1);
 
-  SECTION("the same watch is made again after a pause") {
+  SECTION("the same watch is repeated after a delay") {
     CHECK_FALSE(harness.source.hasWatch(kPrefix));
     harness.scheduler.advance(harness.settings.min_retry_delay);
     REQUIRE(harness.source.hasWatch(kPrefix));
@@ -148,7 +150,7 @@
     CHECK(harness.recoveries == 1);
     CHECK(harness.revisions.size() == 2);
   }
-  SECTION("pauses grow to a limit, and one loss is told once") {
+  SECTION("the delay grows to a limit, and one loss is reported once") {
     for (int failure = 0; failure < 20; ++failure) {
       harness.scheduler.advance(harness.settings.max_retry_delay);
       REQUIRE(harness.source.hasWatch(kPrefix));
@@ -158,7 +160,7 @@
   }
 }
 
-TEST_CASE("a page that fails is read again, and the read goes on", "[view_follower]") {
+TEST_CASE("a failed page is read again and the full read continues", "[view_follower]") {
   FollowerHarness harness;
   harness.answerPage(ItemPage{{item("things/a", 1)}, true, 10});
   harness.answerPage(SourceError::Throttled);
