--- a/src/discovery/upstream_poller.cc
+++ b/src/discovery/upstream_poller.cc
@@ -5,9 +5,9 @@
 
 namespace lugfork {
 
-UpstreamPoller::UpstreamPoller(UpstreamPollSettings settings, Duration fresh_for,
+UpstreamPoller::UpstreamPoller(UpstreamPollerSettings settings, Duration max_fresh_age,
                                PeerDirectory& directory, PeerClient& peers)
-    : settings_(settings), fresh_for_(fresh_for), directory_(directory), peers_(peers) {}
+    : settings_(settings), max_fresh_age_(max_fresh_age), directory_(directory), peers_(peers) {}
 
 void UpstreamPoller::poll(std::vector<Endpoint> candidates, Revision after, Callback callback) {
   const auto preferred = std::find(candidates.begin(), candidates.end(), preferred_);
@@ -22,17 +22,17 @@
 }
 
 void UpstreamPoller::askNext(const PollPtr& poll) {
-  const std::size_t most = settings_.max_asked + poll->referrals;
-  const std::size_t limit = std::min(poll->candidates.size(), most);
-  if (poll->asked == limit) {
+  const std::size_t max_asked = settings_.max_peers + poll->referral_count;
+  const std::size_t limit = std::min(poll->candidates.size(), max_asked);
+  if (poll->asked_count == limit) {
     // The next poll begins with those that were not asked.
-    judgeSilence(*poll);
+    reportSilentPeers(*poll);
     preferred_ = limit == 0 ? Endpoint() : poll->candidates[limit % poll->candidates.size()];
     poll->callback(poll->best);
     return;
   }
-  const Endpoint upstream = poll->candidates[poll->asked++];
-  peers_.readView(upstream, poll->after, settings_.patience,
+  const Endpoint upstream = poll->candidates[poll->asked_count++];
+  peers_.readView(upstream, poll->after, settings_.response_timeout,
                   [this, poll, upstream](const Result<PeerView, PeerRefusal>& answer) {
                     onAnswer(poll, upstream, answer);
                   });
@@ -45,17 +45,17 @@
     askNext(poll);
     return;
   }
-  poll->was_answered = true;
+  poll->has_answer = true;
   directory_.onAlive(upstream);
   const PeerView& view = answer.value();
   const bool is_newer = !poll->best.view || view.status.age_ms < poll->best.view->status.age_ms;
   if (is_newer) {
-    const bool is_fresh = milliseconds(view.status.age_ms) <= fresh_for_;
+    const bool is_fresh = milliseconds(view.status.age_ms) <= max_fresh_age_;
     poll->best = {view, upstream, is_fresh};
   }
   if (poll->best.is_fresh) {
     preferred_ = upstream;
-    judgeSilence(*poll);
+    reportSilentPeers(*poll);
     poll->callback(poll->best);
     return;
   }
@@ -66,30 +66,30 @@
 
 void UpstreamPoller::onRefusal(const PollPtr& poll, Endpoint upstream, const PeerRefusal& refusal) {
   if (refusal.cause == SourceError::NoAnswer) {
-    poll->silent.push_back(upstream);
+    poll->silent_peers.push_back(upstream);
     return;
   }
-  poll->was_answered = true;
+  poll->has_answer = true;
   const bool is_busy = refusal.cause == SourceError::Throttled;
   if (!is_busy) {
     directory_.onUnavailable(upstream);
     return;
   }
   for (const Endpoint& other : refusal.others) {
-    if (poll->referrals < settings_.max_referrals) {
-      ++poll->referrals;
-      poll->candidates.insert(poll->candidates.begin() + static_cast<std::ptrdiff_t>(poll->asked),
-                              other);
+    if (poll->referral_count < settings_.max_referrals) {
+      ++poll->referral_count;
+      poll->candidates.insert(
+          poll->candidates.begin() + static_cast<std::ptrdiff_t>(poll->asked_count), other);
     }
   }
 }
 
-void UpstreamPoller::judgeSilence(const Poll& poll) {
-  const bool own_path_is_broken = !poll.was_answered && poll.silent.size() > 1;
-  if (own_path_is_broken) {
+void UpstreamPoller::reportSilentPeers(const Poll& poll) {
+  const bool is_local_path_broken = !poll.has_answer && poll.silent_peers.size() > 1;
+  if (is_local_path_broken) {
     return;
   }
-  for (const Endpoint& upstream : poll.silent) {
+  for (const Endpoint& upstream : poll.silent_peers) {
     directory_.onFailed(upstream);
   }
 }
--- a/src/discovery/upstream_poller.h
+++ b/src/discovery/upstream_poller.h
@@ -9,11 +9,11 @@
 namespace lugfork {
 
 /** Tunables of an UpstreamPoller. */
-struct UpstreamPollSettings {
+struct UpstreamPollerSettings {
   /** A balancer that gives no sign for this long counts as silent (three sends). */
-  Duration patience = milliseconds(300);
+  Duration response_timeout = milliseconds(300);
   /** Balancers asked in one poll at most. */
-  std::size_t max_asked = 3;
+  std::size_t max_peers = 3;
   /** Balancers asked besides because one that was busy named them: levels of a tree of a fleet. */
   std::size_t max_referrals = 5;
 };
@@ -36,7 +36,7 @@
   using Callback = std::function<void(const PollResult&)>;
 
   /** @param fresh_for age of a view from which another balancer is asked as well. */
-  UpstreamPoller(UpstreamPollSettings settings, Duration fresh_for, PeerDirectory& directory,
+  UpstreamPoller(UpstreamPollerSettings settings, Duration max_fresh_age, PeerDirectory& directory,
                  PeerClient& peers);
 
   /** The one that had a fresh view last is asked first. */
@@ -45,11 +45,11 @@
  private:
   struct Poll {
     std::vector<Endpoint> candidates;
-    std::size_t asked = 0;
+    std::size_t asked_count = 0;
     /** Candidates that others have named. */
-    std::size_t referrals = 0;
-    std::vector<Endpoint> silent;
-    bool was_answered = false;
+    std::size_t referral_count = 0;
+    std::vector<Endpoint> silent_peers;
+    bool has_answer = false;
     Revision after = 0;
     PollResult best;
     Callback callback;
@@ -61,10 +61,10 @@
   void onAnswer(const PollPtr& poll, Endpoint upstream,
                 const Result<PeerView, PeerRefusal>& answer);
   /** Blames who was silent, unless all were: then this balancer's own path is broken. */
-  void judgeSilence(const Poll& poll);
+  void reportSilentPeers(const Poll& poll);
 
-  const UpstreamPollSettings settings_;
-  const Duration fresh_for_;
+  const UpstreamPollerSettings settings_;
+  const Duration max_fresh_age_;
   PeerDirectory& directory_;
   PeerClient& peers_;
   Endpoint preferred_;
--- a/src/discovery/upstream_selector.cc
+++ b/src/discovery/upstream_selector.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::size_t kShownViews = 2;
+constexpr std::size_t kMaxPeersWithView = 2;
 
 }  // namespace
 
-UpstreamSelector::UpstreamSelector(UpstreamSettings settings, Endpoint own_address,
+UpstreamSelector::UpstreamSelector(UpstreamSelectorSettings settings, Endpoint own_address,
                                    PeerDirectory& directory)
     : settings_(settings),
       own_address_(own_address),
@@ -33,11 +33,11 @@
   return rotated(std::move(ranked));
 }
 
-std::vector<Endpoint> UpstreamSelector::standIns() {
+std::vector<Endpoint> UpstreamSelector::fallbackPeers() {
   // One more than there are watchers: this balancer may be one of them.
   const std::vector<Endpoint> ranked = directory_.ranked(watcherCount() + 1);
   // Whoever has shown a view goes first: at a start the lowest ranks may not have one yet.
-  std::vector<Endpoint> balancers = directory_.withView(kShownViews);
+  std::vector<Endpoint> balancers = directory_.withView(kMaxPeersWithView);
   for (const Endpoint& balancer : rotated(ranked)) {
     if (std::find(balancers.begin(), balancers.end(), balancer) == balancers.end()) {
       balancers.push_back(balancer);
--- a/src/discovery/upstream_selector.h
+++ b/src/discovery/upstream_selector.h
@@ -7,7 +7,7 @@
 namespace lugfork {
 
 /** Tunables of an UpstreamSelector. */
-struct UpstreamSettings {
+struct UpstreamSelectorSettings {
   /**
    * Balancers that watch the store, for each unit of the square root of the fleet's size: 1 of 9,
    * 3 of 88, 5 of 295, 13 of 2,700. Few calls to the store, and few followers for each watcher,
@@ -23,7 +23,8 @@
  */
 class UpstreamSelector {
  public:
-  UpstreamSelector(UpstreamSettings settings, Endpoint own_address, PeerDirectory& directory);
+  UpstreamSelector(UpstreamSelectorSettings settings, Endpoint own_address,
+                   PeerDirectory& directory);
 
   /**
    * @return the balancers to follow, this one's own choice first; nothing where this one is to
@@ -32,14 +33,14 @@
   std::vector<Endpoint> upstreams();
 
   /** @return balancers that are likely to know the newest while the store refuses this one. */
-  std::vector<Endpoint> standIns();
+  std::vector<Endpoint> fallbackPeers();
 
  private:
   std::size_t watcherCount();
   /** Begins the list at a place that depends on this balancer's rank. */
   std::vector<Endpoint> rotated(std::vector<Endpoint> balancers) const;
 
-  const UpstreamSettings settings_;
+  const UpstreamSelectorSettings settings_;
   const Endpoint own_address_;
   const PeerRank own_rank_;
   PeerDirectory& directory_;
--- a/src/discovery/upstream_source.cc
+++ b/src/discovery/upstream_source.cc
@@ -13,7 +13,7 @@
       return "store";
     case Upstream::Balancer:
       return "balancer";
-    case Upstream::StandIn:
+    case Upstream::FallbackPeer:
       return "stand_in";
   }
   return "unknown";
@@ -42,46 +42,46 @@
 
 void UpstreamSource::readPage(const PageRequest& request, PageCallback callback) {
   caught_up_ = false;
-  const bool goes_on = !request.after_key.empty();
-  if (goes_on || startsAtStore()) {
+  const bool is_continuation = !request.after_key.empty();
+  if (is_continuation || readsStoreFirst()) {
     readStore(request, std::move(callback));
     return;
   }
-  const bool knows_fleet = directory_.knowsPeers();
-  const auto first = knows_fleet ? selector_.upstreams() : std::vector<Endpoint>();
-  first_view_->read(first,
+  const bool has_known_peers = directory_.knowsPeers();
+  const auto candidates = has_known_peers ? selector_.upstreams() : std::vector<Endpoint>();
+  first_view_->read(candidates,
                     [this, request, callback = std::move(callback)](std::optional<PeerView> view) {
                       if (!view) {
                         readStore(request, callback);
                         return;
                       }
-                      ++counters_.views_from_balancers;
+                      ++counters_.views_from_peers;
                       caught_up_ = true;
                       schedule_.onTold(view->status.age_ms);
                       callback(toPage(std::move(*view)));
                     });
 }
 
-bool UpstreamSource::startsAtStore() {
+bool UpstreamSource::readsStoreFirst() {
   if (peers_ == nullptr) {
     return true;
   }
-  const bool knows_fleet = directory_.knowsPeers();
-  if (knows_fleet) {
+  const bool has_known_peers = directory_.knowsPeers();
+  if (has_known_peers) {
     return selector_.upstreams().empty();
   }
   return directory_.isSeed() || directory_.ranked(1).empty();
 }
 
 void UpstreamSource::readStore(const PageRequest& request, PageCallback callback) {
-  ++counters_.pages_from_store;
+  ++counters_.store_page_reads;
   schedule_.onStoreCalled();
   const auto race = std::make_shared<PageRace>();
   race->callback = std::move(callback);
   store_.readPage(request, [this, race](const Result<ItemPage, SourceError>& answer) {
-    if (answer || !peersMayHelp(answer.error())) {
+    if (answer || !canPeersAnswer(answer.error())) {
       schedule_.onStoreAnswer();
-      if (!std::exchange(race->is_over, true)) {
+      if (!std::exchange(race->is_done, true)) {
         schedule_.onTold(0);
         race->callback(answer);
       }
@@ -89,14 +89,14 @@
     }
     onStoreError(answer.error());
     race->store_error = answer.error();
-    askPeersToo(race);
+    pollPeersToo(race);
     finishRace(race);
   });
-  scheduler_.callAfter(settings_.store_hedge_after, [this, race] { askPeersToo(race); });
+  scheduler_.callAfter(settings_.store_hedge_delay, [this, race] { pollPeersToo(race); });
 }
 
-void UpstreamSource::askPeersToo(const PageRacePtr& race) {
-  if (race->is_over || std::exchange(race->peers_asked, true)) {
+void UpstreamSource::pollPeersToo(const PageRacePtr& race) {
+  if (race->is_done || std::exchange(race->peers_polled, true)) {
     return;
   }
   if (peers_ == nullptr) {
@@ -104,9 +104,9 @@
     finishRace(race);
     return;
   }
-  ++counters_.stand_ins;
-  poller_->poll(selector_.standIns(), 0, [this, race](const PollResult& result) {
-    if (race->is_over) {
+  ++counters_.fallback_polls;
+  poller_->poll(selector_.fallbackPeers(), 0, [this, race](const PollResult& result) {
+    if (race->is_done) {
       return;
     }
     if (!result.view || !result.view->is_whole) {
@@ -114,45 +114,45 @@
       finishRace(race);
       return;
     }
-    race->is_over = true;
+    race->is_done = true;
     directory_.onTold(result.view->peers);
-    ++counters_.views_from_balancers;
+    ++counters_.views_from_peers;
     caught_up_ = true;
     schedule_.onTold(result.view->status.age_ms);
-    setUpstream(Upstream::StandIn, result.upstream, "the store gives no page");
+    setUpstream(Upstream::FallbackPeer, result.upstream, "the store gives no page");
     race->callback(toPage(*result.view));
   });
 }
 
 void UpstreamSource::finishRace(const PageRacePtr& race) {
-  if (race->is_over || !race->store_error || !race->peers_failed) {
+  if (race->is_done || !race->store_error || !race->peers_failed) {
     return;
   }
-  race->is_over = true;
+  race->is_done = true;
   // Never at once: the caller may still be inside its call.
   scheduler_.callAfter(Duration::zero(), [race] { race->callback(*race->store_error); });
 }
 
-void UpstreamSource::watch(const WatchRequest& request, WatchCallback user_callback) {
-  WatchCallback callback = withLateChanges(std::move(user_callback));
-  const bool stays_at_store =
-      time_source_.monotonicTime() < store_until_ && !schedule_.isStoreFailing();
-  const bool follows =
-      peers_ != nullptr && caught_up_ && !stays_at_store && !selector_.upstreams().empty();
-  if (!follows) {
+void UpstreamSource::watch(const WatchRequest& request, WatchCallback original_callback) {
+  WatchCallback callback = withLateChanges(std::move(original_callback));
+  const bool keeps_store =
+      time_source_.monotonicTime() < watch_store_until_ && !schedule_.isStoreFailing();
+  const bool polls_upstreams =
+      peers_ != nullptr && caught_up_ && !keeps_store && !selector_.upstreams().empty();
+  if (!polls_upstreams) {
     watchStore(request, std::move(callback));
     return;
   }
-  const auto followed = std::make_shared<FollowedWatch>();
-  followed->request = request;
-  followed->callback = std::move(callback);
+  const auto polled = std::make_shared<PolledWatch>();
+  polled->request = request;
+  polled->callback = std::move(callback);
   scheduler_.callAfter(settings_.probes.budget.poll_interval,
-                       [this, followed] { pollUpstreams(followed); });
-  askStoreInTime(followed);
+                       [this, polled] { pollUpstreams(polled); });
+  scheduleDeadline(polled);
 }
 
-void UpstreamSource::pollUpstreams(const FollowedWatchPtr& watch) {
-  if (watch->is_over) {
+void UpstreamSource::pollUpstreams(const PolledWatchPtr& watch) {
+  if (watch->is_done) {
     return;
   }
   ++counters_.polls;
@@ -160,8 +160,8 @@
                 [this, watch](const PollResult& result) { onPolled(watch, result); });
 }
 
-void UpstreamSource::onPolled(const FollowedWatchPtr& watch, const PollResult& result) {
-  if (watch->is_over) {
+void UpstreamSource::onPolled(const PolledWatchPtr& watch, const PollResult& result) {
+  if (watch->is_done) {
     return;
   }
   if (result.is_fresh) {
@@ -172,8 +172,8 @@
   }
   ++counters_.polls_without_fresh_view;
   schedule_.onNoFreshUpstream();
-  watch->old_result = result;
-  if (watch->store_asked) {
+  watch->stale_result = result;
+  if (watch->store_probed) {
     finishWithoutStore(watch);
     return;
   }
@@ -186,54 +186,54 @@
     answer(watch, changesOf(result));
     return;
   }
-  standInFor(watch);
+  pollFallbackPeersFor(watch);
 }
 
-void UpstreamSource::askStoreInTime(const FollowedWatchPtr& watch) {
-  const Duration left = std::max(Duration::zero(), schedule_.untilDeadline());
-  scheduler_.callAfter(left, [this, watch] { onDeadline(watch); });
+void UpstreamSource::scheduleDeadline(const PolledWatchPtr& watch) {
+  const Duration remaining = std::max(Duration::zero(), schedule_.untilDeadline());
+  scheduler_.callAfter(remaining, [this, watch] { onDeadline(watch); });
 }
 
-void UpstreamSource::onDeadline(const FollowedWatchPtr& watch) {
-  if (watch->is_over || watch->store_asked || !schedule_.mayProbe()) {
+void UpstreamSource::onDeadline(const PolledWatchPtr& watch) {
+  if (watch->is_done || watch->store_probed || !schedule_.mayProbe()) {
     return;
   }
-  ++counters_.deadline_asks;
+  ++counters_.deadline_probes;
   probeStore(watch, "the view grew old before a poll was over");
 }
 
-void UpstreamSource::probeStore(const FollowedWatchPtr& watch, std::string_view cause) {
-  ++counters_.watches_of_store;
+void UpstreamSource::probeStore(const PolledWatchPtr& watch, std::string_view cause) {
+  ++counters_.store_watches;
   schedule_.onStoreCalled();
-  watch->store_asked = true;
+  watch->store_probed = true;
   WatchRequest probe = watch->request;
   probe.wait = settings_.store_probe_wait;
   store_.watch(probe, [this, watch, cause](const Result<ItemChanges, SourceError>& changes) {
-    if (!changes && peersMayHelp(changes.error())) {
+    if (!changes && canPeersAnswer(changes.error())) {
       onStoreError(changes.error());
       watch->store_error = changes.error();
       finishWithoutStore(watch);
       return;
     }
     schedule_.onStoreAnswer();
-    if (watch->is_over) {
-      keepLate(changes);
+    if (watch->is_done) {
+      keepLateChanges(changes);
       return;
     }
-    store_until_ = time_source_.monotonicTime() + settings_.store_stay;
+    watch_store_until_ = time_source_.monotonicTime() + settings_.store_watch_ttl;
     setUpstream(Upstream::Store, Endpoint(), cause);
     schedule_.onTold(changes ? changes.value().age_ms : 0);
     answer(watch, changes);
   });
 }
 
-void UpstreamSource::finishWithoutStore(const FollowedWatchPtr& watch) {
-  const bool is_waiting = !watch->store_error || !watch->old_result;
-  if (watch->is_over || is_waiting) {
+void UpstreamSource::finishWithoutStore(const PolledWatchPtr& watch) {
+  const bool is_pending = !watch->store_error || !watch->stale_result;
+  if (watch->is_done || is_pending) {
     return;
   }
-  if (watch->old_result->view) {
-    answer(watch, changesOf(*watch->old_result));
+  if (watch->stale_result->view) {
+    answer(watch, changesOf(*watch->stale_result));
     return;
   }
   answer(watch, *watch->store_error);
@@ -243,17 +243,17 @@
   if (!schedule_.mayWatch()) {
     scheduler_.callAfter(settings_.probes.budget.poll_interval,
                          [this, request, callback = std::move(callback)] {
-                           standIn(request, last_store_error_, callback);
+                           pollFallbackPeers(request, last_store_error_, callback);
                          });
     return;
   }
-  ++counters_.watches_of_store;
+  ++counters_.store_watches;
   schedule_.onStoreCalled();
-  WatchRequest to_store = request;
-  to_store.wait = schedule_.isStoreFailing() ? settings_.store_probe_wait : request.wait;
-  store_.watch(to_store, [this, request, callback = std::move(callback)](
-                             const Result<ItemChanges, SourceError>& answer) {
-    if (answer || !peersMayHelp(answer.error())) {
+  WatchRequest store_request = request;
+  store_request.wait = schedule_.isStoreFailing() ? settings_.store_probe_wait : request.wait;
+  store_.watch(store_request, [this, request, callback = std::move(callback)](
+                                  const Result<ItemChanges, SourceError>& answer) {
+    if (answer || !canPeersAnswer(answer.error())) {
       schedule_.onStoreAnswer();
       if (answer && !std::exchange(caught_up_, true)) {
         announceView(answer.value().at);
@@ -264,7 +264,7 @@
       return;
     }
     onStoreError(answer.error());
-    standIn(request, answer.error(), callback);
+    pollFallbackPeers(request, answer.error(), callback);
   });
 }
 
@@ -273,7 +273,7 @@
     return;
   }
   for (const Endpoint& seed : directory_.shuffledSeeds()) {
-    peers_->readView(seed, position, settings_.poll.patience,
+    peers_->readView(seed, position, settings_.poll.response_timeout,
                      [this, seed](const Result<PeerView, PeerRefusal>& answer) {
                        if (answer) {
                          directory_.onAlive(seed);
@@ -282,52 +282,52 @@
   }
 }
 
-void UpstreamSource::standIn(const WatchRequest& request, SourceError error,
-                             const WatchCallback& callback) {
+void UpstreamSource::pollFallbackPeers(const WatchRequest& request, SourceError error,
+                                       const WatchCallback& callback) {
   const auto fail = [callback, error] { callback(error); };
   if (peers_ == nullptr) {
     scheduler_.callAfter(Duration::zero(), fail);
     return;
   }
-  std::vector<Endpoint> candidates = selector_.standIns();
+  std::vector<Endpoint> candidates = selector_.fallbackPeers();
   if (candidates.empty()) {
     scheduler_.callAfter(Duration::zero(), fail);
     return;
   }
-  ++counters_.stand_ins;
+  ++counters_.fallback_polls;
   poller_->poll(std::move(candidates), request.after,
                 [this, callback, error](const PollResult& result) {
                   if (!result.view) {
                     callback(error);
                     return;
                   }
-                  setUpstream(Upstream::StandIn, result.upstream, toString(error));
+                  setUpstream(Upstream::FallbackPeer, result.upstream, toString(error));
                   callback(changesOf(result));
                 });
 }
 
-void UpstreamSource::standInFor(const FollowedWatchPtr& watch) {
-  standIn(watch->request, last_store_error_,
-          [watch](const Result<ItemChanges, SourceError>& changes) {
-            // The store's answer is waited for where it has been asked meanwhile.
-            const bool store_may_answer = watch->store_asked && !watch->store_error;
-            if (changes || !store_may_answer) {
-              answer(watch, changes);
-            }
-          });
+void UpstreamSource::pollFallbackPeersFor(const PolledWatchPtr& watch) {
+  pollFallbackPeers(watch->request, last_store_error_,
+                    [watch](const Result<ItemChanges, SourceError>& changes) {
+                      // The store's answer is waited for where it has been asked meanwhile.
+                      const bool store_may_answer = watch->store_probed && !watch->store_error;
+                      if (changes || !store_may_answer) {
+                        answer(watch, changes);
+                      }
+                    });
 }
 
-void UpstreamSource::answer(const FollowedWatchPtr& watch,
+void UpstreamSource::answer(const PolledWatchPtr& watch,
                             const Result<ItemChanges, SourceError>& changes) {
-  if (!std::exchange(watch->is_over, true)) {
+  if (!std::exchange(watch->is_done, true)) {
     watch->callback(changes);
   }
 }
 
-void UpstreamSource::keepLate(const Result<ItemChanges, SourceError>& changes) {
+void UpstreamSource::keepLateChanges(const Result<ItemChanges, SourceError>& changes) {
   if (changes) {
-    const std::vector<ItemChange>& told = changes.value().changes;
-    late_changes_.insert(late_changes_.end(), told.begin(), told.end());
+    const std::vector<ItemChange>& late = changes.value().changes;
+    late_changes_.insert(late_changes_.end(), late.begin(), late.end());
   }
 }
 
@@ -369,7 +369,7 @@
   }
 }
 
-bool UpstreamSource::peersMayHelp(SourceError error) {
+bool UpstreamSource::canPeersAnswer(SourceError error) {
   return error == SourceError::NoAnswer || error == SourceError::Throttled ||
          error == SourceError::Unavailable || error == SourceError::Malformed;
 }
--- a/src/discovery/upstream_source.h
+++ b/src/discovery/upstream_source.h
@@ -14,15 +14,15 @@
 /** Tunables of an UpstreamSource. */
 struct UpstreamSourceSettings {
   FirstViewSettings first_view;
-  UpstreamPollSettings poll;
+  UpstreamPollerSettings poll;
   /** When the store is called; its budget also sets the pause between polls. */
   ProbeScheduleSettings probes;
   /** Wait of a watch that tries the store again. */
   Duration store_probe_wait = milliseconds(1);
   /** Time without an answer of the store to a read after which other balancers are asked too. */
-  Duration store_hedge_after = milliseconds(200);
+  Duration store_hedge_delay = milliseconds(200);
   /** Time for which the store is watched after it knew better than the upstreams. */
-  Duration store_stay = seconds(3);
+  Duration store_watch_ttl = seconds(3);
 };
 
 /** Where changes come from at present. */
@@ -33,7 +33,7 @@
   /** Another balancer with a fresh view. */
   Balancer,
   /** Another balancer, since the store does not answer this one. */
-  StandIn,
+  FallbackPeer,
 };
 
 /** Stable name, for logs and metrics. */
@@ -55,11 +55,11 @@
   /** Polls that brought changes. */
   std::uint64_t polls_with_changes = 0;
   /** Calls to the store because the view had grown too old to wait for a poll any longer. */
-  std::uint64_t deadline_asks = 0;
-  std::uint64_t views_from_balancers = 0;
-  std::uint64_t pages_from_store = 0;
-  std::uint64_t watches_of_store = 0;
-  std::uint64_t stand_ins = 0;
+  std::uint64_t deadline_probes = 0;
+  std::uint64_t views_from_peers = 0;
+  std::uint64_t store_page_reads = 0;
+  std::uint64_t store_watches = 0;
+  std::uint64_t fallback_polls = 0;
 };
 
 /**
@@ -95,51 +95,51 @@
   /** A read that the store and other balancers may answer; the first good answer counts. */
   struct PageRace {
     PageCallback callback;
-    bool is_over = false;
-    bool peers_asked = false;
+    bool is_done = false;
+    bool peers_polled = false;
     bool peers_failed = false;
     std::optional<SourceError> store_error;
   };
   using PageRacePtr = std::shared_ptr<PageRace>;
 
   /** A watch that a poll, or the store in its place, may answer; the first good answer counts. */
-  struct FollowedWatch {
+  struct PolledWatch {
     WatchRequest request;
     WatchCallback callback;
-    bool is_over = false;
-    bool store_asked = false;
+    bool is_done = false;
+    bool store_probed = false;
     /** Set once the store has failed to answer. */
     std::optional<SourceError> store_error;
     /** Set once the poll has ended without a fresh view. */
-    std::optional<PollResult> old_result;
+    std::optional<PollResult> stale_result;
   };
-  using FollowedWatchPtr = std::shared_ptr<FollowedWatch>;
+  using PolledWatchPtr = std::shared_ptr<PolledWatch>;
 
-  bool startsAtStore();
+  bool readsStoreFirst();
   void readStore(const PageRequest& request, PageCallback callback);
-  void askPeersToo(const PageRacePtr& race);
+  void pollPeersToo(const PageRacePtr& race);
   void finishRace(const PageRacePtr& race);
 
-  void pollUpstreams(const FollowedWatchPtr& watch);
-  void onPolled(const FollowedWatchPtr& watch, const PollResult& result);
+  void pollUpstreams(const PolledWatchPtr& watch);
+  void onPolled(const PolledWatchPtr& watch, const PollResult& result);
   /** Asks the store when the view reaches the age at which it is this balancer's turn. */
-  void askStoreInTime(const FollowedWatchPtr& watch);
-  void onDeadline(const FollowedWatchPtr& watch);
+  void scheduleDeadline(const PolledWatchPtr& watch);
+  void onDeadline(const PolledWatchPtr& watch);
   void watchStore(const WatchRequest& request, WatchCallback callback);
   /** Tries the store; what the upstreams told counts where the store does not answer. */
-  void probeStore(const FollowedWatchPtr& watch, std::string_view cause);
+  void probeStore(const PolledWatchPtr& watch, std::string_view cause);
   /** Ends a watch that neither the store nor a fresh upstream has answered. */
-  void finishWithoutStore(const FollowedWatchPtr& watch);
+  void finishWithoutStore(const PolledWatchPtr& watch);
   /** Shows the seeds that this balancer has a view, so that they can send others here. */
   void announceView(Revision position);
-  void standIn(const WatchRequest& request, SourceError error, const WatchCallback& callback);
+  void pollFallbackPeers(const WatchRequest& request, SourceError error,
+                         const WatchCallback& callback);
   /** The same for a watch that the store may answer meanwhile. */
-  void standInFor(const FollowedWatchPtr& watch);
+  void pollFallbackPeersFor(const PolledWatchPtr& watch);
   /** Answers a watch unless that has been done. */
-  static void answer(const FollowedWatchPtr& watch,
-                     const Result<ItemChanges, SourceError>& changes);
+  static void answer(const PolledWatchPtr& watch, const Result<ItemChanges, SourceError>& changes);
   /** Keeps what the store told for a watch that was over, for the next answer. */
-  void keepLate(const Result<ItemChanges, SourceError>& changes);
+  void keepLateChanges(const Result<ItemChanges, SourceError>& changes);
   /** @return a callback that is told late changes before the answer's own. */
   WatchCallback withLateChanges(WatchCallback callback);
   /** @return what a watch is told of another balancer's view. */
@@ -148,7 +148,7 @@
   void onStoreError(SourceError error);
   void setUpstream(Upstream upstream, Endpoint balancer, std::string_view cause);
   /** @return true where another balancer may know what the store did not answer. */
-  static bool peersMayHelp(SourceError error);
+  static bool canPeersAnswer(SourceError error);
   static ItemPage toPage(PeerView view);
 
   const UpstreamSourceSettings settings_;
@@ -174,7 +174,7 @@
    * what it has told does not tell them again: dropped, the end of a server was never known.
    */
   std::vector<ItemChange> late_changes_;
-  MonotonicTime store_until_;
+  MonotonicTime watch_store_until_;
   UpstreamCounters counters_;
 };
 
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -50,7 +50,7 @@
   ViewClientSettings view_client;
   ViewProviderSettings provider;
   EvidenceExchangeSettings evidence;
-  UpstreamSettings upstream;
+  UpstreamSelectorSettings upstream;
   UpstreamSourceSettings source;
   HedgedReadSettings hedged_reads;
   /** Its prefixes come from the platform's layout. */
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -88,7 +88,7 @@
 void addUpstream(MetricPage& page, const PacketFigures& figures) {
   const UpstreamCounters& counters = figures.source.counters();
   for (const Upstream upstream :
-       {Upstream::None, Upstream::Store, Upstream::Balancer, Upstream::StandIn}) {
+       {Upstream::None, Upstream::Store, Upstream::Balancer, Upstream::FallbackPeer}) {
     addGauge(page, "lugfork_upstream", "1 for where changes come from at present.",
              figures.source.upstream() == upstream ? 1 : 0, {{"kind", toString(upstream)}});
   }
@@ -99,14 +99,15 @@
              "Polls in which no balancer had a fresh view.", counters.polls_without_fresh_view);
   addCounter(page, "lugfork_upstream_deadline_asks_total",
              "Calls to the store because the view had grown too old to wait for a poll.",
-             counters.deadline_asks);
+             counters.deadline_probes);
   addCounter(page, "lugfork_upstream_stand_ins_total",
-             "Polls of balancers in place of a store that did not answer.", counters.stand_ins);
+             "Polls of balancers in place of a store that did not answer.",
+             counters.fallback_polls);
   addCounter(page, "lugfork_upstream_whole_views_total",
-             "Whole views that came from other balancers.", counters.views_from_balancers);
-  addCounter(page, "lugfork_store_calls_total", "Calls to the store.", counters.pages_from_store,
+             "Whole views that came from other balancers.", counters.views_from_peers);
+  addCounter(page, "lugfork_store_calls_total", "Calls to the store.", counters.store_page_reads,
              {{"call", "page"}});
-  addCounter(page, "lugfork_store_calls_total", "Calls to the store.", counters.watches_of_store,
+  addCounter(page, "lugfork_store_calls_total", "Calls to the store.", counters.store_watches,
              {{"call", "watch"}});
   addCounter(page, "lugfork_store_calls_total", "Calls to the store.", figures.hedged_reads,
              {{"call", "hedge"}});
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -46,20 +46,20 @@
 
 /** One balancer of the fleet, with all that decides when it asks the store. */
 struct Follower : ViewFollowerHost {
-  Follower(Endpoint its_address, ManualTimeSource& its_time, ManualScheduler& its_scheduler)
-      : own(its_address),
-        time(its_time),
-        scheduler(its_scheduler),
+  Follower(Endpoint own_address, ManualTimeSource& test_time, ManualScheduler& test_scheduler)
+      : own(own_address),
+        time(test_time),
+        scheduler(test_scheduler),
         directory({}, {own, 0}, {}, time, *random) {
     directory.onTold(fleet());
   }
 
-  void startFrom(std::uint32_t age_ms) {
-    upstreamsTell(age_ms, true);
+  void startFromView(std::uint32_t age_ms) {
+    setUpstreamAnswers(age_ms, true);
     follower.start();
     scheduler.advance(milliseconds(10));
     REQUIRE(follower.isCaughtUp());
-    upstreamsTell(age_ms, false);
+    setUpstreamAnswers(age_ms, false);
   }
 
   void onItems(const std::vector<ItemChange>&) override {}
@@ -68,17 +68,17 @@
   void onSourceLost(SourceError) override {}
   void onSourceRecovered(Duration) override {}
 
-  bool follows() { return !selector.upstreams().empty(); }
+  bool isFollower() { return !selector.upstreams().empty(); }
 
-  void upstreamsTell(std::uint32_t age_ms, bool whole_view) {
+  void setUpstreamAnswers(std::uint32_t age_ms, bool whole_view) {
     for (const KnownPeer& peer : fleet()) {
       peers.tells(peer.address, {}, 5, age_ms, whole_view);
     }
   }
-  void upstreamsFallSilent() { peers.answers.clear(); }
+  void silenceUpstreams() { peers.answers.clear(); }
 
   /** @return age of what is known when the store is asked; none where that was not within 10 s. */
-  std::optional<Duration> ageWhenStoreIsAsked() {
+  std::optional<Duration> ageAtStoreProbe() {
     constexpr Duration kStep = milliseconds(10);
     for (Duration waited{}; waited < seconds(10); waited += kStep) {
       if (store.hasWatch(kPrefix)) {
@@ -102,31 +102,31 @@
 };
 
 /** @return the oldest view in the fleet, at the time when its owner asked the store. */
-Duration oldestAge(std::uint32_t told_age_ms) {
+Duration maxAgeAtStoreProbe(std::uint32_t upstream_age_ms) {
   ManualTimeSource time;
-  Duration oldest{};
+  Duration max_age{};
   for (const KnownPeer& peer : fleet()) {
     ManualScheduler scheduler(time);
     Follower balancer(peer.address, time, scheduler);
-    if (!balancer.follows()) {
+    if (!balancer.isFollower()) {
       continue;
     }
-    balancer.startFrom(told_age_ms);
+    balancer.startFromView(upstream_age_ms);
     scheduler.advance(seconds(4));
     REQUIRE_FALSE(balancer.store.hasWatch(kPrefix));
-    balancer.upstreamsFallSilent();
-    const auto age = balancer.ageWhenStoreIsAsked();
+    balancer.silenceUpstreams();
+    const auto age = balancer.ageAtStoreProbe();
     REQUIRE(age.has_value());
-    oldest = std::max(oldest, *age);
+    max_age = std::max(max_age, *age);
   }
-  return oldest;
+  return max_age;
 }
 
 TEST_CASE("a follower whose upstreams fall silent asks the store before its view is too old",
           "[upstream_source]") {
-  const std::uint32_t told_age_ms = GENERATE(100, 1499);
-  CAPTURE(told_age_ms);
-  CHECK(oldestAge(told_age_ms) <= kInForceWithin - kStoreAnswer);
+  const std::uint32_t upstream_age_ms = GENERATE(100, 1499);
+  CAPTURE(upstream_age_ms);
+  CHECK(maxAgeAtStoreProbe(upstream_age_ms) <= kInForceWithin - kStoreAnswer);
 }
 
 }  // namespace
--- a/tests/discovery/upstream_poller_test.cc
+++ b/tests/discovery/upstream_poller_test.cc
@@ -27,7 +27,7 @@
   FakePeers peers{scheduler};
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   PeerDirectory directory{{}, balancer(9), {}, time, *random};
-  UpstreamPollSettings settings;
+  UpstreamPollerSettings settings;
   UpstreamPoller poller{settings, FreshnessBudget().fresh_for, directory, peers};
   std::optional<PollResult> result;
 };
@@ -79,7 +79,7 @@
   harness.poll();
   CHECK_FALSE(harness.result->is_fresh);
   CHECK(harness.result->upstream == balancer(2));
-  CHECK(harness.peers.asked.size() == harness.settings.max_asked);
+  CHECK(harness.peers.asked.size() == harness.settings.max_peers);
   harness.peers.tells(balancer(4), {}, 9, 10);
   harness.poll();
   CHECK(harness.result->upstream == balancer(4));
--- a/tests/discovery/upstream_selector_test.cc
+++ b/tests/discovery/upstream_selector_test.cc
@@ -199,10 +199,10 @@
             [](Endpoint left, Endpoint right) { return peerRank(left) < peerRank(right); });
   Balancer balancer(all[0], fleet(), time);
   REQUIRE(balancer.selector.upstreams().empty());
-  const auto stand_ins = balancer.selector.standIns();
-  CHECK(stand_ins.size() == kWatchers + 1);
-  for (const Endpoint& stand_in : stand_ins) {
-    CHECK(peerRank(stand_in) <= peerRank(all[stand_ins.size()]));
+  const auto fallback_peers = balancer.selector.fallbackPeers();
+  CHECK(fallback_peers.size() == kWatchers + 1);
+  for (const Endpoint& fallback_peer : fallback_peers) {
+    CHECK(peerRank(fallback_peer) <= peerRank(all[fallback_peers.size()]));
   }
 }
 
--- a/tests/discovery/upstream_source_test.cc
+++ b/tests/discovery/upstream_source_test.cc
@@ -11,16 +11,16 @@
 const std::string kPrefix;
 
 /** Three addresses in the order of their ranks. */
-std::vector<Endpoint> byRank() {
+std::vector<Endpoint> balancersByRank() {
   std::vector<Endpoint> balancers = {{1, 1}, {2, 1}, {3, 1}};
   std::sort(balancers.begin(), balancers.end(),
             [](Endpoint left, Endpoint right) { return peerRank(left) < peerRank(right); });
   return balancers;
 }
 
-const Endpoint kFirst = byRank()[0];
-const Endpoint kSecond = byRank()[1];
-const Endpoint kOwn = byRank()[2];
+const Endpoint kFirst = balancersByRank()[0];
+const Endpoint kSecond = balancersByRank()[1];
+const Endpoint kOwn = balancersByRank()[2];
 
 struct SourceHarness : UpstreamListener {
   /** @param seeds which the settings name. */
@@ -115,11 +115,12 @@
 
 TEST_CASE("a balancer without peers only asks the store", "[upstream_source]") {
   SourceHarness harness;
-  UpstreamSource lonely(harness.settings, Endpoint(), harness.store, nullptr, harness.directory,
-                        harness.selector, harness.scheduler, harness.time);
+  UpstreamSource source_without_peers(harness.settings, Endpoint(), harness.store, nullptr,
+                                      harness.directory, harness.selector, harness.scheduler,
+                                      harness.time);
   std::optional<Result<ItemChanges, SourceError>> answer;
   const auto keep = [&](Result<ItemChanges, SourceError> result) { answer = std::move(result); };
-  lonely.watch({kPrefix, 5, seconds(1)}, keep);
+  source_without_peers.watch({kPrefix, 5, seconds(1)}, keep);
   harness.store.answerWatch(kPrefix, SourceError::Unavailable);
   harness.scheduler.advance(milliseconds(1));
   REQUIRE(answer.has_value());
@@ -132,7 +133,7 @@
   harness.peers.tells(kSecond, {written("a", 3)}, 9, 5000, true);
   harness.read();
   SECTION("silent") {
-    harness.scheduler.advance(harness.settings.store_hedge_after + milliseconds(5));
+    harness.scheduler.advance(harness.settings.store_hedge_delay + milliseconds(5));
   }
   SECTION("fails") {
     harness.store.answerPage(kPrefix, SourceError::Unavailable);
@@ -141,7 +142,7 @@
   REQUIRE(harness.page.has_value());
   REQUIRE(*harness.page);
   CHECK(harness.page->value().is_whole_view);
-  CHECK(harness.changes.back().first == Upstream::StandIn);
+  CHECK(harness.changes.back().first == Upstream::FallbackPeer);
 }
 
 TEST_CASE("a read fails with the store's error where no balancer knows anything",
@@ -186,7 +187,7 @@
   }
   harness.watch();
   harness.scheduler.advance(harness.settings.probes.budget.poll_interval +
-                            harness.settings.poll.patience + milliseconds(10));
+                            harness.settings.poll.response_timeout + milliseconds(10));
   CHECK_FALSE(harness.answer.has_value());
   REQUIRE(harness.store.watch_requests.size() == store_calls + 1);
   CHECK(harness.store.watch_requests.back().after == 5);
@@ -213,8 +214,8 @@
   CHECK(harness.store.watch_requests.size() == store_calls);
   harness.scheduler.advance(milliseconds(1));
   REQUIRE(harness.store.watch_requests.size() == store_calls + 1);
-  CHECK(harness.source.counters().deadline_asks == 1);
-  const Duration poll_ends =
+  CHECK(harness.source.counters().deadline_probes == 1);
+  const Duration until_poll_ends =
       harness.settings.probes.budget.poll_interval + harness.peers.answers_after - deadline;
 
   SECTION("its answer counts, and the poll's comes to nothing") {
@@ -222,11 +223,11 @@
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 8);
     harness.answer.reset();
-    harness.scheduler.advance(poll_ends);
+    harness.scheduler.advance(until_poll_ends);
     CHECK_FALSE(harness.answer.has_value());
   }
   SECTION("the poll's answer counts where it comes first") {
-    harness.scheduler.advance(poll_ends);
+    harness.scheduler.advance(until_poll_ends);
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 7);
     harness.answer.reset();
@@ -247,7 +248,7 @@
   SECTION("a store that fails leaves it to the poll") {
     harness.store.answerWatch(kPrefix, SourceError::NoAnswer);
     CHECK_FALSE(harness.answer.has_value());
-    harness.scheduler.advance(poll_ends);
+    harness.scheduler.advance(until_poll_ends);
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 7);
   }
@@ -297,8 +298,8 @@
   for (std::uint32_t address = 1; address <= 300; ++address) {
     fleet.push_back({address, 1});
   }
-  std::size_t asked_within_first_poll = 0;
-  std::size_t asked_within_spread = 0;
+  std::size_t probed_within_first_poll = 0;
+  std::size_t probed_within_spread = 0;
   std::size_t followers = 0;
   UpstreamSourceSettings settings;
   for (const Endpoint& own : fleet) {
@@ -324,25 +325,25 @@
     };
     watch();
     scheduler.advance(settings.probes.budget.poll_interval + milliseconds(100));
-    asked_within_first_poll += store.hasWatch(kPrefix) ? 1 : 0;
+    probed_within_first_poll += store.hasWatch(kPrefix) ? 1 : 0;
     scheduler.advance(seconds(4));
-    asked_within_spread += store.hasWatch(kPrefix) ? 1 : 0;
+    probed_within_spread += store.hasWatch(kPrefix) ? 1 : 0;
     CHECK(time.monotonicTime() - started_at < seconds(6));
     watch = [] {};
     scheduler.advance(seconds(1));
   }
   CHECK(followers >= 290);
-  CHECK(asked_within_first_poll < 60);
-  CHECK(asked_within_spread == followers);
+  CHECK(probed_within_first_poll < 60);
+  CHECK(probed_within_spread == followers);
 }
 
 TEST_CASE("a balancer stands in for a store that does not answer a watcher", "[upstream_source]") {
   const SourceError error = GENERATE(SourceError::NoAnswer, SourceError::Throttled,
                                      SourceError::Unavailable, SourceError::Malformed);
   SourceHarness harness;
-  UpstreamSelector watches({10}, kOwn, harness.directory);
+  UpstreamSelector watcher_selector({10}, kOwn, harness.directory);
   UpstreamSource source(harness.settings, kOwn, harness.store, &harness.peers, harness.directory,
-                        watches, harness.scheduler, harness.time);
+                        watcher_selector, harness.scheduler, harness.time);
   source.setListener(&harness);
   harness.directory.onAlive(kFirst);
   harness.peers.tells(kFirst, {written("a", 7)}, 7);
@@ -358,7 +359,7 @@
   harness.scheduler.advance(milliseconds(5));
   REQUIRE(harness.answer.has_value());
   CHECK(harness.answer->value().at == 7);
-  CHECK(harness.changes.back() == std::pair(Upstream::StandIn, kFirst));
+  CHECK(harness.changes.back() == std::pair(Upstream::FallbackPeer, kFirst));
   CHECK(harness.causes.back() == toString(error));
 
   SECTION("it goes on for a while, then the store is tried with a short watch") {
