--- a/src/discovery/upstream_poller.cc
+++ b/src/discovery/upstream_poller.cc
@@ -25,7 +25,7 @@
   const std::size_t max_asked = settings_.max_peers + poll->referral_count;
   const std::size_t limit = std::min(poll->candidates.size(), max_asked);
   if (poll->asked_count == limit) {
-    // The next poll begins with those that were not asked.
+    // The next poll starts with the candidates that were not asked.
     reportSilentPeers(*poll);
     preferred_ = limit == 0 ? Endpoint() : poll->candidates[limit % poll->candidates.size()];
     poll->callback(poll->best);
@@ -59,7 +59,7 @@
     poll->callback(poll->best);
     return;
   }
-  // Those next in rank watch the store in its place, and are asked in the next poll.
+  // The peers next in rank watch the store in its place and are asked in the next poll.
   directory_.onUnavailable(upstream);
   askNext(poll);
 }
--- a/src/discovery/upstream_poller.h
+++ b/src/discovery/upstream_poller.h
@@ -8,45 +8,45 @@
 
 namespace lugfork {
 
-/** Tunables of an UpstreamPoller. */
+/** Settings of UpstreamPoller. */
 struct UpstreamPollerSettings {
-  /** A balancer that gives no sign for this long counts as silent (three sends). */
+  /** Longest wait for a sign of a peer before it counts as silent (three sends). */
   Duration response_timeout = milliseconds(300);
-  /** Balancers asked in one poll at most. */
+  /** Limit of peers asked in one poll, without referrals. */
   std::size_t max_peers = 3;
-  /** Balancers asked besides because one that was busy named them: levels of a tree of a fleet. */
+  /** Limit of peers asked after a referral by a busy one: the depth of a fleet's tree. */
   std::size_t max_referrals = 5;
 };
 
-/** What a poll has found. */
+/** Result of a poll. */
 struct PollResult {
-  /** The newest view that was told; none where nobody told one. */
+  /** The newest view received; none if no peer sent one. */
   std::optional<PeerView> view;
   Endpoint upstream;
-  /** The view is no older than the limit. */
+  /** The view's age is within the limit. */
   bool is_fresh = false;
 };
 
 /**
- * Asks balancers in turn what is new, until one tells a view that is fresh. Whom a busy one names
- * is asked next.
+ * Asks peers in turn for changes until one sends a fresh view. A peer that a busy one refers to is
+ * asked next.
  */
 class UpstreamPoller {
  public:
   using Callback = std::function<void(const PollResult&)>;
 
-  /** @param fresh_for age of a view from which another balancer is asked as well. */
+  /** @param max_fresh_age maximum age of a fresh view; beyond it the next peer is asked as well. */
   UpstreamPoller(UpstreamPollerSettings settings, Duration max_fresh_age, PeerDirectory& directory,
                  PeerClient& peers);
 
-  /** The one that had a fresh view last is asked first. */
+  /** Polls the candidates in order, but first the preferred one of the previous poll. */
   void poll(std::vector<Endpoint> candidates, Revision after, Callback callback);
 
  private:
   struct Poll {
     std::vector<Endpoint> candidates;
     std::size_t asked_count = 0;
-    /** Candidates that others have named. */
+    /** Candidates added because of referrals. */
     std::size_t referral_count = 0;
     std::vector<Endpoint> silent_peers;
     bool has_answer = false;
@@ -60,7 +60,10 @@
   void onRefusal(const PollPtr& poll, Endpoint upstream, const PeerRefusal& refusal);
   void onAnswer(const PollPtr& poll, Endpoint upstream,
                 const Result<PeerView, PeerRefusal>& answer);
-  /** Blames who was silent, unless all were: then this balancer's own path is broken. */
+  /**
+   * Reports silent peers to the directory, unless several were asked and none answered: then this
+   * balancer's own network path has probably failed.
+   */
   void reportSilentPeers(const Poll& poll);
 
   const UpstreamPollerSettings settings_;
--- a/src/discovery/upstream_selector.cc
+++ b/src/discovery/upstream_selector.cc
@@ -34,9 +34,9 @@
 }
 
 std::vector<Endpoint> UpstreamSelector::fallbackPeers() {
-  // One more than there are watchers: this balancer may be one of them.
+  // One more than the number of watchers, since this balancer may be one of them.
   const std::vector<Endpoint> ranked = directory_.ranked(watcherCount() + 1);
-  // Whoever has shown a view goes first: at a start the lowest ranks may not have one yet.
+  // Peers known to have a view come first: during fleet start the lowest ranks may have none.
   std::vector<Endpoint> balancers = directory_.withView(kMaxPeersWithView);
   for (const Endpoint& balancer : rotated(ranked)) {
     if (std::find(balancers.begin(), balancers.end(), balancer) == balancers.end()) {
--- a/src/discovery/upstream_selector.h
+++ b/src/discovery/upstream_selector.h
@@ -6,20 +6,20 @@
 
 namespace lugfork {
 
-/** Tunables of an UpstreamSelector. */
+/** Settings of UpstreamSelector. */
 struct UpstreamSelectorSettings {
   /**
-   * Balancers that watch the store, for each unit of the square root of the fleet's size: 1 of 9,
-   * 3 of 88, 5 of 295, 13 of 2,700. Few calls to the store, and few followers for each watcher,
-   * pull in opposite directions (measured: journal of quiet-1 on the sites of 295).
+   * Number of watchers divided by the square root of the fleet size. 0.25 gives 1 watcher of 9
+   * balancers, 3 of 88, 5 of 295 and 13 of 2,700. Fewer watchers make fewer calls to the store but
+   * serve more followers each.
    */
   double watchers_per_root = 0.25;
 };
 
 /**
- * Decides whom this balancer follows: the store, or other balancers that watch the store. Those
- * with the fastest links and the lowest ranks watch, as many as the size of the fleet asks for. A
- * balancer only follows better upstreams than itself, so that no two follow each other.
+ * Selects the upstreams of this balancer: the store, or peers that watch the store. The watchers
+ * are the balancers with the fastest links and the lowest ranks; their number depends on the fleet
+ * size. A balancer follows only better upstreams than itself, so that no two follow each other.
  */
 class UpstreamSelector {
  public:
@@ -27,17 +27,17 @@
                    PeerDirectory& directory);
 
   /**
-   * @return the balancers to follow, this one's own choice first; nothing where this one is to
-   * watch the store itself.
+   * @return the balancers to follow, this balancer's preferred one first; empty if it watches the
+   * store itself.
    */
   std::vector<Endpoint> upstreams();
 
-  /** @return balancers that are likely to know the newest while the store refuses this one. */
+  /** @return peers that are likely to have the newest view while the store does not answer. */
   std::vector<Endpoint> fallbackPeers();
 
  private:
   std::size_t watcherCount();
-  /** Begins the list at a place that depends on this balancer's rank. */
+  /** Rotates the list by this balancer's rank, which spreads the followers over the watchers. */
   std::vector<Endpoint> rotated(std::vector<Endpoint> balancers) const;
 
   const UpstreamSelectorSettings settings_;
--- a/src/discovery/upstream_source.cc
+++ b/src/discovery/upstream_source.cc
@@ -119,7 +119,7 @@
     ++counters_.views_from_peers;
     caught_up_ = true;
     schedule_.onTold(result.view->status.age_ms);
-    setUpstream(Upstream::FallbackPeer, result.upstream, "the store gives no page");
+    setUpstream(Upstream::FallbackPeer, result.upstream, "store read failed or timed out");
     race->callback(toPage(*result.view));
   });
 }
@@ -129,7 +129,7 @@
     return;
   }
   race->is_done = true;
-  // Never at once: the caller may still be inside its call.
+  // Deferred, because callbacks must not run within the call that they answer.
   scheduler_.callAfter(Duration::zero(), [race] { race->callback(*race->store_error); });
 }
 
@@ -166,7 +166,7 @@
   }
   if (result.is_fresh) {
     schedule_.onFreshUpstream();
-    setUpstream(Upstream::Balancer, result.upstream, "it has a fresh view");
+    setUpstream(Upstream::Balancer, result.upstream, "balancer has a fresh view");
     answer(watch, changesOf(result));
     return;
   }
@@ -199,7 +199,7 @@
     return;
   }
   ++counters_.deadline_probes;
-  probeStore(watch, "the view grew old before a poll was over");
+  probeStore(watch, "view reached its maximum age during a poll");
 }
 
 void UpstreamSource::probeStore(const PolledWatchPtr& watch, std::string_view cause) {
@@ -259,7 +259,7 @@
         announceView(answer.value().at);
       }
       schedule_.onTold(answer ? answer.value().age_ms : 0);
-      setUpstream(Upstream::Store, Endpoint(), "it answers");
+      setUpstream(Upstream::Store, Endpoint(), "store answers");
       callback(answer);
       return;
     }
@@ -309,7 +309,7 @@
 void UpstreamSource::pollFallbackPeersFor(const PolledWatchPtr& watch) {
   pollFallbackPeers(watch->request, last_store_error_,
                     [watch](const Result<ItemChanges, SourceError>& changes) {
-                      // The store's answer is waited for where it has been asked meanwhile.
+                      // A store probe that has been sent in the meantime may still answer.
                       const bool store_may_answer = watch->store_probed && !watch->store_error;
                       if (changes || !store_may_answer) {
                         answer(watch, changes);
@@ -347,7 +347,7 @@
   schedule_.onTold(view.status.age_ms);
   counters_.polls_with_changes += view.changes.empty() ? 0 : 1;
   if (view.is_whole) {
-    // Not asked for; the read that follows asks for it.
+    // A whole view does not answer a watch; the full read that follows requests it.
     return SourceError::HistoryGone;
   }
   return ItemChanges{view.changes, view.at, view.status.age_ms};
--- a/src/discovery/upstream_source.h
+++ b/src/discovery/upstream_source.h
@@ -11,50 +11,50 @@
 
 namespace lugfork {
 
-/** Tunables of an UpstreamSource. */
+/** Settings of UpstreamSource. */
 struct UpstreamSourceSettings {
   FirstViewSettings first_view;
   UpstreamPollerSettings poll;
-  /** When the store is called; its budget also sets the pause between polls. */
+  /** When the store is probed; its budget also sets the poll interval. */
   ProbeScheduleSettings probes;
-  /** Wait of a watch that tries the store again. */
+  /** Wait of a watch that probes the store. */
   Duration store_probe_wait = milliseconds(1);
-  /** Time without an answer of the store to a read after which other balancers are asked too. */
+  /** Time without an answer to a store read after which peers are asked as well. */
   Duration store_hedge_delay = milliseconds(200);
-  /** Time for which the store is watched after it knew better than the upstreams. */
+  /** Time for which the store is watched after it answered in place of stale upstreams. */
   Duration store_watch_ttl = seconds(3);
 };
 
-/** Where changes come from at present. */
+/** Current source of changes. */
 enum class Upstream : std::uint8_t {
-  /** Nothing has been told yet. */
+  /** Nothing has been received yet. */
   None,
   Store,
-  /** Another balancer with a fresh view. */
+  /** A peer with a fresh view. */
   Balancer,
-  /** Another balancer, since the store does not answer this one. */
+  /** A peer polled because the store does not answer this balancer. */
   FallbackPeer,
 };
 
-/** Stable name, for logs and metrics. */
+/** @return the stable name used in logs and metrics. */
 const char* toString(Upstream upstream);
 
-/** Listener for changes of the upstream. */
+/** Is notified when the upstream changes. */
 class UpstreamListener {
  public:
   virtual ~UpstreamListener() = default;
-  /** @param balancer unset where that is the store. @param cause why the upstream has changed. */
+  /** @param balancer unset if the upstream is the store. @param cause reason for the change. */
   virtual void onUpstreamChanged(Upstream upstream, Endpoint balancer, std::string_view cause) = 0;
 };
 
-/** Counts of an UpstreamSource. */
+/** Counters of UpstreamSource. */
 struct UpstreamCounters {
   std::uint64_t polls = 0;
-  /** Polls in which no balancer had a fresh view. */
+  /** Polls in which no peer had a fresh view. */
   std::uint64_t polls_without_fresh_view = 0;
-  /** Polls that brought changes. */
+  /** Polls that returned changes. */
   std::uint64_t polls_with_changes = 0;
-  /** Calls to the store because the view had grown too old to wait for a poll any longer. */
+  /** Probes of the store because the view had become too old to wait for a poll. */
   std::uint64_t deadline_probes = 0;
   std::uint64_t views_from_peers = 0;
   std::uint64_t store_page_reads = 0;
@@ -63,22 +63,21 @@
 };
 
 /**
- * Decides where each read and watch goes: to the store, or to another balancer, so that the calls
- * to the store do not grow with the fleet.
+ * Routes each read and watch to the store or to a peer, so that the number of calls to the store
+ * does not grow with the size of the fleet.
  *
- * - A balancer that starts gets its view from another; only seeds read the store at once.
- * - Those with the lowest ranks watch the store, all others poll one of these.
- * - A view that has grown old is compared with other upstreams', then with the store.
- * - Before a view is too old for what changed since to come into force in time, the store is asked,
- *   even while a poll is under way.
- * - Where the store does not answer, other balancers stand in for it.
+ * - A balancer that starts reads its view from a peer; only seeds read the store directly.
+ * - The balancers that UpstreamSelector ranks best watch the store; all others poll one of them.
+ * - If an upstream's view is stale, other upstreams are polled, then the store is probed.
+ * - The store is probed, even during a poll, before the view is so old that changes could no longer
+ *   take effect in time.
+ * - If the store does not answer, peers are polled as a fallback.
  *
- * Revisions are the store's own, so that the follower's view never goes back when its upstream
- * changes.
+ * Revisions are those of the store, so the view never reverts when the upstream changes.
  */
 class UpstreamSource : public ItemSource {
  public:
-  /** @param peers null where this balancer knows no other: only the store is asked. */
+  /** @param peers null if this balancer has no peers: only the store is used. */
   UpstreamSource(UpstreamSourceSettings settings, Endpoint own_address, ItemSource& store,
                  PeerClient* peers, PeerDirectory& directory, UpstreamSelector& selector,
                  Scheduler& scheduler, const TimeSource& time_source);
@@ -92,7 +91,7 @@
   const UpstreamCounters& counters() const { return counters_; }
 
  private:
-  /** A read that the store and other balancers may answer; the first good answer counts. */
+  /** A read that the store or peers may answer; the first successful answer is used. */
   struct PageRace {
     PageCallback callback;
     bool is_done = false;
@@ -102,13 +101,13 @@
   };
   using PageRacePtr = std::shared_ptr<PageRace>;
 
-  /** A watch that a poll, or the store in its place, may answer; the first good answer counts. */
+  /** A watch that a poll or a store probe may answer; the first successful answer is used. */
   struct PolledWatch {
     WatchRequest request;
     WatchCallback callback;
     bool is_done = false;
     bool store_probed = false;
-    /** Set once the store has failed to answer. */
+    /** Set once the store has failed. */
     std::optional<SourceError> store_error;
     /** Set once the poll has ended without a fresh view. */
     std::optional<PollResult> stale_result;
@@ -122,32 +121,33 @@
 
   void pollUpstreams(const PolledWatchPtr& watch);
   void onPolled(const PolledWatchPtr& watch, const PollResult& result);
-  /** Asks the store when the view reaches the age at which it is this balancer's turn. */
+  /** Schedules a store probe for the time at which the view's age makes it this balancer's turn. */
   void scheduleDeadline(const PolledWatchPtr& watch);
   void onDeadline(const PolledWatchPtr& watch);
   void watchStore(const WatchRequest& request, WatchCallback callback);
-  /** Tries the store; what the upstreams told counts where the store does not answer. */
+  /** Probes the store; the upstreams' answer is used if the store does not answer. */
   void probeStore(const PolledWatchPtr& watch, std::string_view cause);
-  /** Ends a watch that neither the store nor a fresh upstream has answered. */
+  /** Completes a watch that neither the store nor a fresh upstream has answered. */
   void finishWithoutStore(const PolledWatchPtr& watch);
-  /** Shows the seeds that this balancer has a view, so that they can send others here. */
+  /** Announces this balancer's view to the seeds, so that they can refer other balancers to it. */
   void announceView(Revision position);
+  /** Polls fallback peers; the callback gets the error if none of them has a view. */
   void pollFallbackPeers(const WatchRequest& request, SourceError error,
                          const WatchCallback& callback);
-  /** The same for a watch that the store may answer meanwhile. */
+  /** The same for a watch that the store may answer in the meantime. */
   void pollFallbackPeersFor(const PolledWatchPtr& watch);
-  /** Answers a watch unless that has been done. */
+  /** Answers a watch unless it has been answered before. */
   static void answer(const PolledWatchPtr& watch, const Result<ItemChanges, SourceError>& changes);
-  /** Keeps what the store told for a watch that was over, for the next answer. */
+  /** Keeps changes that the store sent after the watch was answered, for the next answer. */
   void keepLateChanges(const Result<ItemChanges, SourceError>& changes);
-  /** @return a callback that is told late changes before the answer's own. */
+  /** @return a callback that prepends late changes to the changes of the answer. */
   WatchCallback withLateChanges(WatchCallback callback);
-  /** @return what a watch is told of another balancer's view. */
+  /** @return the changes of a peer's view as the answer to a watch. */
   Result<ItemChanges, SourceError> changesOf(const PollResult& result);
 
   void onStoreError(SourceError error);
   void setUpstream(Upstream upstream, Endpoint balancer, std::string_view cause);
-  /** @return true where another balancer may know what the store did not answer. */
+  /** @return true if a peer may have the data after this error of the store. */
   static bool canPeersAnswer(SourceError error);
   static ItemPage toPage(PeerView view);
 
@@ -166,12 +166,13 @@
   ProbeSchedule schedule_;
   Upstream upstream_ = Upstream::None;
   Endpoint upstream_balancer_;
-  /** A watch of the store, or a whole view, has shown what came since the last full read. */
+  /** A store watch or a whole view has delivered the changes since the last full read. */
   bool caught_up_ = false;
   SourceError last_store_error_ = SourceError::NoAnswer;
   /**
-   * Changes that the store told too late for the watch that had asked. A source that goes on from
-   * what it has told does not tell them again: dropped, the end of a server was never known.
+   * Changes from the store that arrived after their watch had been answered. A source that
+   * continues from its last position does not send them again: while they were dropped, the end of
+   * a backend was never detected.
    */
   std::vector<ItemChange> late_changes_;
   MonotonicTime watch_store_until_;
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -1,17 +1,16 @@
 /**
- * Symptom: an opening was sent to a server 5,212 ms after the server's drain had been acknowledged;
- * 5,000 ms are allowed.
+ * Guards against a SYN being forwarded to a draining backend: 5,212 ms after the drain had been
+ * acknowledged, where 5,000 ms are allowed.
  *
- * Sequence: balancers that watch the store fill their links with a large configuration, so that
- * followers get no answer from any upstream. Ten servers drain at that moment. A follower waits for
- * its polls, then for its turn to ask the store, then for the pause after a failure.
+ * Watchers saturate their links with a large configuration, so no upstream answers the followers
+ * while ten backends start to drain. A follower waits for its polls, then for its turn to probe the
+ * store, then for the delay after a failure. Each wait was bounded but their sum was not: the turn
+ * was counted from the poll that found the upstreams silent instead of from the view's age, and was
+ * evaluated between polls only.
  *
- * Cause: each wait was bounded, their sum was not: the turn was counted from the poll that found
- * the upstreams silent, not from the age of what was known, and looked at between polls only.
- *
- * What settled it: `platform_lost` (`no_answer`) with `age_ms` 3,202, then `upstream_changed` to
- * `store` with `age_ms` 6,065 and `view_age_ms` 5,825 in `flow_placed`, at the same balancer, while
- * the store answered others within milliseconds.
+ * Log events of the failure, all at one balancer while the store answered others within
+ * milliseconds: `platform_lost` (`no_answer`) with `age_ms` 3,202, `upstream_changed` to `store`
+ * with `age_ms` 6,065, `flow_placed` with `view_age_ms` 5,825.
  */
 
 #include <catch2/catch.hpp>
@@ -26,7 +25,7 @@
 
 const std::string kPrefix;
 constexpr std::uint32_t kFleet = 98;
-/** Time within which a change must be in force everywhere, and what of it is the store's answer. */
+/** Time within which a change must be in force everywhere, and the part for the store's answer. */
 constexpr Duration kInForceWithin = seconds(5);
 constexpr Duration kStoreAnswer = milliseconds(400);
 
@@ -44,7 +43,7 @@
   return balancers;
 }
 
-/** One balancer of the fleet, with all that decides when it asks the store. */
+/** One balancer of the fleet, with the components that decide when it probes the store. */
 struct Follower : ViewFollowerHost {
   Follower(Endpoint own_address, ManualTimeSource& test_time, ManualScheduler& test_scheduler)
       : own(own_address),
@@ -77,7 +76,7 @@
   }
   void silenceUpstreams() { peers.answers.clear(); }
 
-  /** @return age of what is known when the store is asked; none where that was not within 10 s. */
+  /** @return age of the view at the store probe; none if there was no probe within 10 s. */
   std::optional<Duration> ageAtStoreProbe() {
     constexpr Duration kStep = milliseconds(10);
     for (Duration waited{}; waited < seconds(10); waited += kStep) {
@@ -101,7 +100,7 @@
   ViewFollower follower{kPrefix, {}, source, scheduler, time, *random, *this};
 };
 
-/** @return the oldest view in the fleet, at the time when its owner asked the store. */
+/** @return the maximum age in the fleet of a follower's view when it probes the store. */
 Duration maxAgeAtStoreProbe(std::uint32_t upstream_age_ms) {
   ManualTimeSource time;
   Duration max_age{};
@@ -122,7 +121,7 @@
   return max_age;
 }
 
-TEST_CASE("a follower whose upstreams fall silent asks the store before its view is too old",
+TEST_CASE("a follower whose upstreams become silent probes the store before its view is too old",
           "[upstream_source]") {
   const std::uint32_t upstream_age_ms = GENERATE(100, 1499);
   CAPTURE(upstream_age_ms);
--- a/tests/discovery/upstream_poller_test.cc
+++ b/tests/discovery/upstream_poller_test.cc
@@ -32,7 +32,7 @@
   std::optional<PollResult> result;
 };
 
-TEST_CASE("the first balancer with a fresh view ends the poll and is asked first next time",
+TEST_CASE("the first balancer with a fresh view ends the poll and is asked first in the next one",
           "[upstream_poller]") {
   PollHarness harness;
   harness.peers.tells(balancer(1), {}, 5, 1900);
@@ -45,7 +45,7 @@
   CHECK(harness.peers.asked == std::vector<Endpoint>{balancer(1), balancer(2), balancer(2)});
 }
 
-TEST_CASE("whom a busy balancer names is asked next, and the busy one stays an upstream",
+TEST_CASE("a referral by a busy balancer is asked next, and the busy one remains an upstream",
           "[upstream_poller]") {
   PollHarness harness;
   harness.directory.onAlive(balancer(1));
@@ -59,7 +59,7 @@
   CHECK(std::find(upstreams.begin(), upstreams.end(), balancer(1)) != upstreams.end());
 }
 
-TEST_CASE("a poll follows few referrals, then goes on with its own candidates",
+TEST_CASE("a poll follows a limited number of referrals, then continues with its candidates",
           "[upstream_poller]") {
   PollHarness harness;
   harness.peers.refuses(balancer(1), SourceError::Throttled, {balancer(7)});
@@ -70,8 +70,9 @@
   CHECK(harness.peers.asked.size() == 2 + harness.settings.max_referrals);
 }
 
-TEST_CASE("of old views the newest counts, and the next poll begins with the others",
-          "[upstream_poller]") {
+TEST_CASE(
+    "the newest of several old views is used, and the next poll starts with the other candidates",
+    "[upstream_poller]") {
   PollHarness harness;
   harness.peers.tells(balancer(1), {}, 5, 5000);
   harness.peers.tells(balancer(2), {}, 6, 3000);
@@ -85,7 +86,7 @@
   CHECK(harness.result->upstream == balancer(4));
 }
 
-TEST_CASE("who is silent is left alone for long, who has no view for a short time",
+TEST_CASE("a silent balancer is quarantined for long, one without a view for a short time",
           "[upstream_poller]") {
   PollHarness harness;
   for (std::uint32_t number = 1; number <= 3; ++number) {
@@ -99,7 +100,7 @@
   CHECK(harness.directory.ranked() == std::vector<Endpoint>{balancer(2)});
 }
 
-TEST_CASE("who tells an old view is no upstream for a short time", "[upstream_poller]") {
+TEST_CASE("a balancer with an old view is not an upstream for a short time", "[upstream_poller]") {
   PollHarness harness;
   harness.directory.onAlive(balancer(1));
   harness.directory.onAlive(balancer(2));
@@ -111,7 +112,7 @@
   CHECK(harness.directory.ranked().size() == 2);
 }
 
-TEST_CASE("a balancer to which all are silent blames nobody", "[upstream_poller]") {
+TEST_CASE("no peer is marked failed if all of them are silent", "[upstream_poller]") {
   PollHarness harness;
   for (std::uint32_t number = 1; number <= 4; ++number) {
     harness.directory.onAlive(balancer(number));
@@ -121,7 +122,7 @@
   CHECK(harness.directory.ranked().size() == 4);
 }
 
-TEST_CASE("without a candidate nothing is found", "[upstream_poller]") {
+TEST_CASE("a poll without candidates ends without a view", "[upstream_poller]") {
   PollHarness harness;
   std::optional<PollResult> result;
   harness.poller.poll({}, 5, [&](const PollResult& found) { result = found; });
--- a/tests/discovery/upstream_selector_test.cc
+++ b/tests/discovery/upstream_selector_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint32_t kFleetSize = 40;
-/** Five watchers of 40 balancers. */
+/** Gives five watchers for 40 balancers. */
 constexpr double kWatchersPerRoot = 0.79;
 constexpr std::size_t kWatchers = 5;
 
@@ -26,7 +26,7 @@
   return {addresses.begin(), addresses.end()};
 }
 
-/** One balancer's knowledge of others. */
+/** One balancer with its directory and selector. */
 struct Balancer {
   Balancer(Endpoint own_address, const std::vector<Endpoint>& known, ManualTimeSource& time,
            double watchers_per_root = kWatchersPerRoot)
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("whatever each knows, nobody follows a higher rank", "[upstream]") {
+TEST_CASE("no balancer follows a higher rank, whichever peers its directory holds", "[upstream]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(3);
   for (const Endpoint& own : fleet()) {
@@ -78,36 +78,37 @@
   }
 }
 
-TEST_CASE("an upstream that failed is not chosen for a while, also where others tell of it",
+TEST_CASE("a failed upstream is not selected for a while, even if other peers report it",
           "[upstream]") {
   ManualTimeSource time;
   std::vector<Endpoint> all = fleet(4);
   std::sort(all.begin(), all.end(),
             [](Endpoint left, Endpoint right) { return peerRank(left) < peerRank(right); });
-  // One watcher of four.
+  // One watcher for four balancers.
   Balancer balancer(all[2], all, time, 0.5);
   REQUIRE(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   balancer.directory.onFailed(all[0]);
   balancer.directory.onTold(knownPeers(all));
   CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[1]});
 
-  SECTION("with no lower rank left the store is watched") {
+  SECTION("the store is watched if no lower rank is left") {
     balancer.directory.onFailed(all[1]);
     CHECK(balancer.selector.upstreams().empty());
   }
-  SECTION("it is back when it shows itself") {
+  SECTION("it is selected again once it answers") {
     balancer.directory.onAlive(all[0]);
     CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   }
-  SECTION("it is back after the quarantine") {
+  SECTION("it is selected again after the quarantine") {
     time.elapsed += seconds(31);
     balancer.directory.onTold(knownPeers(all));
     CHECK(balancer.selector.upstreams() == std::vector<Endpoint>{all[0]});
   }
 }
 
-TEST_CASE("an upstream with an old view gives way to the next in rank, also while it asks others",
-          "[upstream]") {
+TEST_CASE(
+    "an upstream with an old view is replaced by the next in rank, even while it sends requests",
+    "[upstream]") {
   ManualTimeSource time;
   std::vector<Endpoint> all = fleet(4);
   std::sort(all.begin(), all.end(),
@@ -121,7 +122,7 @@
   CHECK(next.selector.upstreams() == std::vector<Endpoint>{all[0]});
 }
 
-TEST_CASE("a full directory keeps the lowest ranks and tells the fleet's size by them",
+TEST_CASE("a full directory keeps the lowest ranks and estimates the fleet size from them",
           "[upstream]") {
   ManualTimeSource time;
   constexpr std::uint32_t kLargeFleet = 2700;
@@ -134,13 +135,12 @@
   CHECK(balancer.directory.ranked().front() == all.front());
 }
 
-/** Ten of 40 balancers have a link of 200 Mbit/s, the others one of 10. */
+/** Ten of 40 balancers have a link of 200 Mbit/s, the others of 10 Mbit/s. */
 KnownPeer withLink(Endpoint address) {
   return {address, linkClassOf(address.address % 4 == 0 ? 200 : 10)};
 }
 
-TEST_CASE("balancers with the fastest links watch the store, in every balancer's knowledge",
-          "[upstream]") {
+TEST_CASE("every balancer selects watchers with the fastest links", "[upstream]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   const auto size = GENERATE(as<std::uint32_t>(), 40, 2700);
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_CASE("a link that was not known before is learnt from others", "[upstream]") {
+TEST_CASE("an unknown link class is updated from peers' reports", "[upstream]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   PeerDirectory directory({}, Endpoint{1, 1}, {}, time, *random);
@@ -176,7 +176,7 @@
   CHECK(directory.ranked() == std::vector<Endpoint>{higher, lower});
 }
 
-TEST_CASE("the fleet's first choices are spread over its watchers", "[upstream]") {
+TEST_CASE("the preferred upstreams of a fleet are spread over its watchers", "[upstream]") {
   ManualTimeSource time;
   std::map<Endpoint, int> followers;
   for (const Endpoint& own : fleet(300)) {
@@ -192,7 +192,8 @@
   }
 }
 
-TEST_CASE("watchers stand in for a store that refuses this balancer", "[upstream]") {
+TEST_CASE("the watchers are the fallback peers of a balancer that the store refuses",
+          "[upstream]") {
   ManualTimeSource time;
   std::vector<Endpoint> all = fleet();
   std::sort(all.begin(), all.end(),
@@ -206,7 +207,7 @@
   }
 }
 
-TEST_CASE("a balancer that others can't ask follows nobody", "[upstream]") {
+TEST_CASE("a balancer without a control address has no upstreams", "[upstream]") {
   ManualTimeSource time;
   Balancer balancer(Endpoint(), fleet(), time);
   CHECK(balancer.selector.upstreams().empty());
--- a/tests/discovery/upstream_source_test.cc
+++ b/tests/discovery/upstream_source_test.cc
@@ -10,7 +10,7 @@
 
 const std::string kPrefix;
 
-/** Three addresses in the order of their ranks. */
+/** @return three addresses, ordered by rank. */
 std::vector<Endpoint> balancersByRank() {
   std::vector<Endpoint> balancers = {{1, 1}, {2, 1}, {3, 1}};
   std::sort(balancers.begin(), balancers.end(),
@@ -23,7 +23,7 @@
 const Endpoint kOwn = balancersByRank()[2];
 
 struct SourceHarness : UpstreamListener {
-  /** @param seeds which the settings name. */
+  /** @param seeds the configured seeds. */
   explicit SourceHarness(std::vector<Endpoint> seeds = {})
       : directory({}, kOwn, std::move(seeds), time, *random) {
     source.setListener(this);
@@ -46,7 +46,7 @@
                  [this](Result<ItemChanges, SourceError> result) { answer = std::move(result); });
   }
 
-  /** Knows two balancers of lower rank, and has a view that the store has told. */
+  /** Adds two balancers of lower rank, and completes a watch of the store. */
   void catchUp() {
     directory.onAlive(kFirst);
     directory.onAlive(kSecond);
@@ -75,7 +75,7 @@
   std::vector<std::string> causes;
 };
 
-TEST_CASE("a balancer that starts reads its view from a seed, not from the store",
+TEST_CASE("a starting balancer reads its view from a seed, not from the store",
           "[upstream_source]") {
   SourceHarness harness({kSecond});
   harness.peers.tells(kSecond, {written("a", 3), written("b", 4)}, 9, 100, true);
@@ -89,7 +89,7 @@
   CHECK(harness.page->value().age_ms == 100);
   CHECK(harness.store.page_requests.empty());
 
-  SECTION("and polls it from then on, without a call to the store") {
+  SECTION("it polls the seed from then on, without calls to the store") {
     harness.peers.tells(kSecond, {written("c", 12)}, 12);
     harness.poll();
     REQUIRE(harness.answer.has_value());
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("a seed, and a balancer without seeds, read the store at once", "[upstream_source]") {
+TEST_CASE("a seed and a balancer without seeds read the store directly", "[upstream_source]") {
   SECTION("a seed") {
     SourceHarness harness({kOwn, kSecond});
     harness.read();
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_CASE("a balancer without peers only asks the store", "[upstream_source]") {
+TEST_CASE("a balancer without peers uses only the store", "[upstream_source]") {
   SourceHarness harness;
   UpstreamSource source_without_peers(harness.settings, Endpoint(), harness.store, nullptr,
                                       harness.directory, harness.selector, harness.scheduler,
@@ -127,15 +127,14 @@
   CHECK(answer->error() == SourceError::Unavailable);
 }
 
-TEST_CASE("the store's page is read from a balancer where the store is silent or fails",
-          "[upstream_source]") {
+TEST_CASE("a page is read from a peer if the store is silent or fails", "[upstream_source]") {
   SourceHarness harness({kOwn, kSecond});
   harness.peers.tells(kSecond, {written("a", 3)}, 9, 5000, true);
   harness.read();
-  SECTION("silent") {
+  SECTION("store is silent") {
     harness.scheduler.advance(harness.settings.store_hedge_delay + milliseconds(5));
   }
-  SECTION("fails") {
+  SECTION("store fails") {
     harness.store.answerPage(kPrefix, SourceError::Unavailable);
     harness.scheduler.advance(milliseconds(5));
   }
@@ -145,8 +144,7 @@
   CHECK(harness.changes.back().first == Upstream::FallbackPeer);
 }
 
-TEST_CASE("a read fails with the store's error where no balancer knows anything",
-          "[upstream_source]") {
+TEST_CASE("a read fails with the store's error if no peer has a view", "[upstream_source]") {
   SourceHarness harness({kOwn, kSecond});
   harness.read();
   harness.store.answerPage(kPrefix, SourceError::Throttled);
@@ -155,7 +153,7 @@
   CHECK(harness.page->error() == SourceError::Throttled);
 }
 
-TEST_CASE("the store is watched until it is caught up with, then a balancer is polled",
+TEST_CASE("the store is watched until the view has caught up, then a peer is polled",
           "[upstream_source]") {
   SourceHarness harness;
   harness.peers.tells(kFirst, {}, 5);
@@ -171,18 +169,18 @@
   CHECK(harness.peers.asked_after == std::vector<Revision>{5});
 }
 
-TEST_CASE("with one upstream, the store is asked at once where it is no help",
+TEST_CASE("the store is probed at once if the only upstream has no fresh view",
           "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
   const std::size_t store_calls = harness.store.watch_requests.size();
-  SECTION("silent") {
+  SECTION("upstream is silent") {
     harness.peers.isSilent(kFirst);
   }
-  SECTION("old view") {
+  SECTION("upstream has an old view") {
     harness.peers.tells(kFirst, {}, 5, 1900);
   }
-  SECTION("no view, or about to stop") {
+  SECTION("upstream has no view or is about to stop") {
     harness.peers.refuses(kFirst, SourceError::Unavailable);
   }
   harness.watch();
@@ -195,13 +193,13 @@
   harness.store.answerWatch(kPrefix, ItemChanges{{written("a", 8)}, 8});
   CHECK(harness.answer->value().at == 8);
 
-  SECTION("and watched for a while") {
+  SECTION("the store is watched for a while afterwards") {
     harness.watch();
     CHECK(harness.store.watch_requests.back().wait == seconds(3));
   }
 }
 
-TEST_CASE("the store is asked while a poll hangs once the view is too old to wait",
+TEST_CASE("the store is probed during a pending poll once the view is too old to wait",
           "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
@@ -218,7 +216,7 @@
   const Duration until_poll_ends =
       harness.settings.probes.budget.poll_interval + harness.peers.answers_after - deadline;
 
-  SECTION("its answer counts, and the poll's comes to nothing") {
+  SECTION("the store's answer is used and the poll's is dropped") {
     harness.store.answerWatch(kPrefix, ItemChanges{{written("a", 8)}, 8});
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 8);
@@ -226,14 +224,14 @@
     harness.scheduler.advance(until_poll_ends);
     CHECK_FALSE(harness.answer.has_value());
   }
-  SECTION("the poll's answer counts where it comes first") {
+  SECTION("the poll's answer is used if it arrives first") {
     harness.scheduler.advance(until_poll_ends);
     REQUIRE(harness.answer.has_value());
     CHECK(harness.answer->value().at == 7);
     harness.answer.reset();
     harness.store.answerWatch(kPrefix, ItemChanges{{written("a", 8)}, 8});
     CHECK_FALSE(harness.answer.has_value());
-    // What the store told is not told again by a source that goes on from there.
+    // The store's late changes are delivered with the next answer: they are not sent again.
     harness.peers.tells(kFirst, {written("b", 9)}, 9);
     harness.peers.answers_after = milliseconds(1);
     harness.poll();
@@ -245,7 +243,7 @@
     harness.poll();
     CHECK(harness.answer->value().changes.size() == 1);
   }
-  SECTION("a store that fails leaves it to the poll") {
+  SECTION("the poll's answer is used if the store fails") {
     harness.store.answerWatch(kPrefix, SourceError::NoAnswer);
     CHECK_FALSE(harness.answer.has_value());
     harness.scheduler.advance(until_poll_ends);
@@ -254,7 +252,7 @@
   }
 }
 
-TEST_CASE("the view counts as old by what was told, not by when", "[upstream_source]") {
+TEST_CASE("the age of the view includes the age reported by the upstream", "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
   harness.peers.tells(kFirst, {}, 5, 1400);
@@ -268,7 +266,7 @@
   CHECK(harness.store.watch_requests.size() == store_calls + 1);
 }
 
-TEST_CASE("an old view counts where the store does not answer either", "[upstream_source]") {
+TEST_CASE("an old view is used if the store does not answer either", "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
   harness.peers.tells(kFirst, {written("a", 8)}, 8, 9000);
@@ -279,7 +277,7 @@
   CHECK(harness.answer->value().at == 8);
   CHECK(harness.answer->value().age_ms == 9000);
 
-  SECTION("the store is not asked again for a while") {
+  SECTION("the store is not probed again for a while") {
     const std::size_t store_calls = harness.store.watch_requests.size();
     harness.poll();
     CHECK(harness.answer.has_value());
@@ -290,7 +288,8 @@
   }
 }
 
-TEST_CASE("a large fleet with old upstreams spreads its calls to the store", "[upstream_source]") {
+TEST_CASE("a large fleet with old upstreams spreads its store probes over time",
+          "[upstream_source]") {
   ManualTimeSource time;
   ManualScheduler scheduler(time);
   const auto random = makeSeededRandom(1);
@@ -337,7 +336,7 @@
   CHECK(probed_within_spread == followers);
 }
 
-TEST_CASE("a balancer stands in for a store that does not answer a watcher", "[upstream_source]") {
+TEST_CASE("a watcher polls a fallback peer if the store does not answer", "[upstream_source]") {
   const SourceError error = GENERATE(SourceError::NoAnswer, SourceError::Throttled,
                                      SourceError::Unavailable, SourceError::Malformed);
   SourceHarness harness;
@@ -362,7 +361,7 @@
   CHECK(harness.changes.back() == std::pair(Upstream::FallbackPeer, kFirst));
   CHECK(harness.causes.back() == toString(error));
 
-  SECTION("it goes on for a while, then the store is tried with a short watch") {
+  SECTION("the peer is polled for a while, then the store is probed with a short watch") {
     const std::size_t store_calls = harness.store.watch_requests.size();
     watch();
     harness.scheduler.advance(harness.settings.probes.budget.poll_interval + milliseconds(5));
@@ -380,7 +379,8 @@
   }
 }
 
-TEST_CASE("lost history is the store's answer, not a failure", "[upstream_source]") {
+TEST_CASE("lost history is treated as an answer of the store, not as a failure",
+          "[upstream_source]") {
   SourceHarness harness;
   harness.watch();
   harness.store.answerWatch(kPrefix, SourceError::HistoryGone);
@@ -388,12 +388,12 @@
   CHECK(harness.peers.asked.empty());
 }
 
-TEST_CASE("without a balancer that answers the store's error stands", "[upstream_source]") {
+TEST_CASE("a watch fails with the store's error if no peer answers", "[upstream_source]") {
   SourceHarness harness;
-  SECTION("it is dead") {
+  SECTION("peer is dead") {
     harness.directory.onAlive(kFirst);
   }
-  SECTION("none is known") {}
+  SECTION("no peer is known") {}
   harness.watch();
   harness.store.answerWatch(kPrefix, SourceError::Unavailable);
   harness.scheduler.advance(seconds(1));
@@ -402,7 +402,7 @@
   CHECK_FALSE(harness.directory.pick().has_value());
 }
 
-TEST_CASE("a view whose history is lost is read again from a balancer", "[upstream_source]") {
+TEST_CASE("a view whose history is lost is read again from a peer", "[upstream_source]") {
   SourceHarness harness;
   harness.catchUp();
   harness.peers.refuses(kFirst, SourceError::Unavailable);
