--- a/src/discovery/item_view.cc
+++ b/src/discovery/item_view.cc
@@ -17,56 +17,56 @@
   return apply(entryOf(change.item.key), change);
 }
 
-ItemView::Known& ItemView::entryOf(const std::string& key) {
+ItemView::Entry& ItemView::entryOf(const std::string& key) {
   // Pages are in the order of their keys: a first view then compares each key with one other.
-  const bool comes_last = known_.empty() || std::prev(known_.end())->first < key;
-  return comes_last ? known_.try_emplace(known_.end(), key)->second : known_[key];
+  const bool is_last_key = entries_.empty() || std::prev(entries_.end())->first < key;
+  return is_last_key ? entries_.try_emplace(entries_.end(), key)->second : entries_[key];
 }
 
-bool ItemView::apply(Known& known, const ItemChange& change) {
-  if (change.item.revision <= known.item.revision) {
+bool ItemView::apply(Entry& entry, const ItemChange& change) {
+  if (change.item.revision <= entry.item.revision) {
     return false;
   }
-  unindex(known);
-  known.item = change.item;
-  known.deleted = change.deleted;
-  by_revision_.emplace(change.item.revision, &known);
-  deletions_ += change.deleted ? 1 : 0;
-  newest_ = std::max(newest_, change.item.revision);
-  forgetOldDeletions();
+  removeFromIndex(entry);
+  entry.item = change.item;
+  entry.deleted = change.deleted;
+  by_revision_.emplace(change.item.revision, &entry);
+  deletion_count_ += change.deleted ? 1 : 0;
+  newest_revision_ = std::max(newest_revision_, change.item.revision);
+  pruneDeletions();
   return true;
 }
 
 void ItemView::startFullRead() {
-  ++full_read_;
-  full_read_at_.reset();
+  ++full_read_number_;
+  full_read_revision_.reset();
 }
 
 std::vector<ItemChange> ItemView::applyPage(ItemPage page) {
-  if (!full_read_at_) {
-    full_read_at_ = page.at;
+  if (!full_read_revision_) {
+    full_read_revision_ = page.at;
   }
-  std::vector<ItemChange> news;
-  news.reserve(page.items.size());
+  std::vector<ItemChange> newer;
+  newer.reserve(page.items.size());
   for (Item& item : page.items) {
-    Known& known = entryOf(item.key);
-    known.shown_in = full_read_;
+    Entry& entry = entryOf(item.key);
+    entry.seen_in = full_read_number_;
     ItemChange change{std::move(item), false};
-    if (apply(known, change)) {
-      news.push_back(std::move(change));
+    if (apply(entry, change)) {
+      newer.push_back(std::move(change));
     }
   }
-  return news;
+  return newer;
 }
 
 std::vector<ItemChange> ItemView::finishFullRead() {
   const Revision at = fullReadRevision();
   std::vector<ItemChange> deletions;
-  for (const auto& [key, known] : known_) {
-    const bool covered = known.item.revision <= at;
-    if (covered && !known.deleted && known.shown_in != full_read_) {
+  for (const auto& [key, entry] : entries_) {
+    const bool is_covered = entry.item.revision <= at;
+    if (is_covered && !entry.deleted && entry.seen_in != full_read_number_) {
       deletions.push_back(
-          {{key, "", std::max(at, known.item.revision + 1), known.item.created}, true});
+          {{key, "", std::max(at, entry.item.revision + 1), entry.item.created}, true});
     }
   }
   for (const ItemChange& deletion : deletions) {
@@ -79,10 +79,10 @@
 
 std::vector<std::string> ItemView::keysUnder(const std::string& prefix) const {
   std::vector<std::string> keys;
-  for (auto entry = known_.lower_bound(prefix);
-       entry != known_.end() && entry->first.starts_with(prefix); ++entry) {
-    if (!entry->second.deleted) {
-      keys.push_back(entry->first);
+  for (auto it = entries_.lower_bound(prefix);
+       it != entries_.end() && it->first.starts_with(prefix); ++it) {
+    if (!it->second.deleted) {
+      keys.push_back(it->first);
     }
   }
   return keys;
@@ -91,15 +91,15 @@
 ItemPage ItemView::page(const std::string& after_key, std::size_t limit) const {
   ItemPage page;
   page.at = position_;
-  for (auto entry = known_.upper_bound(after_key); entry != known_.end(); ++entry) {
-    if (entry->second.deleted) {
+  for (auto it = entries_.upper_bound(after_key); it != entries_.end(); ++it) {
+    if (it->second.deleted) {
       continue;
     }
     if (page.items.size() == limit) {
       page.more = true;
       break;
     }
-    page.items.push_back(entry->second.item);
+    page.items.push_back(it->second.item);
   }
   return page;
 }
@@ -110,39 +110,39 @@
   }
   ItemChanges changes;
   changes.at = position_;
-  for (auto entry = by_revision_.upper_bound(after); entry != by_revision_.end(); ++entry) {
+  for (auto it = by_revision_.upper_bound(after); it != by_revision_.end(); ++it) {
     if (changes.changes.size() == limit) {
       changes.at = changes.changes.back().item.revision;
       break;
     }
-    changes.changes.push_back({entry->second->item, entry->second->deleted});
+    changes.changes.push_back({it->second->item, it->second->deleted});
   }
   return changes;
 }
 
-void ItemView::unindex(const Known& known) {
-  const auto [first, last] = by_revision_.equal_range(known.item.revision);
+void ItemView::removeFromIndex(const Entry& entry) {
+  const auto [first, last] = by_revision_.equal_range(entry.item.revision);
   const auto found =
-      std::find_if(first, last, [&](const auto& entry) { return entry.second == &known; });
+      std::find_if(first, last, [&](const auto& indexed) { return indexed.second == &entry; });
   if (found != last) {
     by_revision_.erase(found);
-    deletions_ -= known.deleted ? 1 : 0;
+    deletion_count_ -= entry.deleted ? 1 : 0;
   }
 }
 
-void ItemView::forgetOldDeletions() {
-  auto entry = by_revision_.begin();
-  while (deletions_ > kMaxDeletions && entry != by_revision_.end()) {
-    const Known& known = *entry->second;
-    if (!known.deleted) {
-      ++entry;
+void ItemView::pruneDeletions() {
+  auto it = by_revision_.begin();
+  while (deletion_count_ > kMaxDeletions && it != by_revision_.end()) {
+    const Entry& entry = *it->second;
+    if (!entry.deleted) {
+      ++it;
       continue;
     }
-    history_from_ = std::max(history_from_, known.item.revision);
-    entry = by_revision_.erase(entry);
-    --deletions_;
-    const std::string key = known.item.key;
-    known_.erase(key);
+    history_from_ = std::max(history_from_, entry.item.revision);
+    it = by_revision_.erase(it);
+    --deletion_count_;
+    const std::string key = entry.item.key;
+    entries_.erase(key);
   }
 }
 
--- a/src/discovery/item_view.h
+++ b/src/discovery/item_view.h
@@ -35,10 +35,10 @@
   std::vector<ItemChange> finishFullRead();
 
   /** @return the revision of the full read's first page, from which a watch misses nothing. */
-  Revision fullReadRevision() const { return full_read_at_.value_or(0); }
+  Revision fullReadRevision() const { return full_read_revision_.value_or(0); }
 
   /** @return the highest revision seen in an item or a deletion. */
-  Revision newestRevision() const { return newest_; }
+  Revision newestRevision() const { return newest_revision_; }
 
   /** @return the keys under a prefix that exist, as far as is known. */
   std::vector<std::string> keysUnder(const std::string& prefix) const;
@@ -57,29 +57,29 @@
   std::optional<ItemChanges> changesAfter(Revision after, std::size_t limit = kNoLimit) const;
 
  private:
-  struct Known {
+  struct Entry {
     Item item;
     bool deleted = false;
     /** The full read that has shown it last. */
-    std::uint64_t shown_in = 0;
+    std::uint64_t seen_in = 0;
   };
-  using KnownItems = std::map<std::string, Known>;
+  using Entries = std::map<std::string, Entry>;
 
   /** @return what is known of a key, which is entered where it was not. */
-  Known& entryOf(const std::string& key);
-  bool apply(Known& known, const ItemChange& change);
-  void unindex(const Known& known);
+  Entry& entryOf(const std::string& key);
+  bool apply(Entry& entry, const ItemChange& change);
+  void removeFromIndex(const Entry& entry);
   /** Forgets the oldest deletions beyond a limit, and with them the history before. */
-  void forgetOldDeletions();
+  void pruneDeletions();
 
-  KnownItems known_;
+  Entries entries_;
   /** What is known, in the order of its last changes; elements of the map stay where they are. */
-  std::multimap<Revision, const Known*> by_revision_;
-  std::size_t deletions_ = 0;
+  std::multimap<Revision, const Entry*> by_revision_;
+  std::size_t deletion_count_ = 0;
   /** Number of the full read that is under way, or was last. */
-  std::uint64_t full_read_ = 1;
-  std::optional<Revision> full_read_at_;
-  Revision newest_ = 0;
+  std::uint64_t full_read_number_ = 1;
+  std::optional<Revision> full_read_revision_;
+  Revision newest_revision_ = 0;
   Revision position_ = 0;
   /** Deletions up to here may be unknown. */
   Revision history_from_ = 0;
--- a/src/discovery/split_feed_source.cc
+++ b/src/discovery/split_feed_source.cc
@@ -13,29 +13,30 @@
 
 }  // namespace
 
-SplitFeedSource::SplitFeedSource(SplitFeedSettings settings, ItemSource& source, ItemSource& feeds,
-                                 Scheduler& scheduler, const TimeSource& time_source)
+SplitFeedSource::SplitFeedSource(SplitFeedSettings settings, ItemSource& full_read_source,
+                                 ItemSource& feed_source, Scheduler& scheduler,
+                                 const TimeSource& time_source)
     : settings_(std::move(settings)),
-      source_(source),
-      feeds_(feeds),
+      full_read_source_(full_read_source),
+      feed_source_(feed_source),
       scheduler_(scheduler),
       time_source_(time_source) {}
 
 void SplitFeedSource::readPage(const PageRequest& request, PageCallback callback) {
   endSession();
-  source_.readPage(request, std::move(callback));
+  full_read_source_.readPage(request, std::move(callback));
 }
 
 void SplitFeedSource::watch(const WatchRequest& request, WatchCallback callback) {
   callback_ = std::move(callback);
   request_ = request;
-  const bool is_old = time_source_.monotonicTime() - delivered_at_ > settings_.session_gap;
-  if (!in_session_ || (is_old && !has_answer_)) {
+  const bool is_expired = time_source_.monotonicTime() - delivered_at_ > settings_.session_ttl;
+  if (!has_session_ || (is_expired && !has_answer_)) {
     startSession(request.after);
   }
   endpoints_.position = std::max(endpoints_.position, request.after);
   documents_.position = std::max(documents_.position, request.after);
-  askFeeds();
+  startCalls();
   if (has_answer_) {
     // Never at once: the caller may still be inside its call.
     scheduler_.callAfter(Duration::zero(), [this] { deliver(); });
@@ -44,38 +45,38 @@
 
 void SplitFeedSource::startSession(Revision after) {
   endSession();
-  in_session_ = true;
+  has_session_ = true;
   endpoints_.position = after;
   documents_.position = after;
 }
 
 void SplitFeedSource::endSession() {
   ++session_;
-  in_session_ = false;
+  has_session_ = false;
   has_answer_ = false;
-  documents_move_ = settings_.splits;
-  gathered_.clear();
+  reads_documents_ = settings_.read_documents_separately;
+  pending_changes_.clear();
   endpoints_ = Feed();
   documents_ = Feed();
 }
 
-void SplitFeedSource::askFeeds() {
-  ask(endpoints_);
+void SplitFeedSource::startCalls() {
+  startCall(endpoints_);
   // A store that does not answer costs one call, not two.
-  if (endpoints_.has_answered && documents_move_) {
-    ask(documents_);
+  if (endpoints_.has_answered && reads_documents_) {
+    startCall(documents_);
   }
 }
 
-void SplitFeedSource::ask(Feed& feed) {
-  if (!in_session_ || feed.in_flight) {
+void SplitFeedSource::startCall(Feed& feed) {
+  if (!has_session_ || feed.in_flight) {
     return;
   }
-  const Duration left = feed.due_at - time_source_.monotonicTime();
-  if (left > Duration::zero()) {
-    scheduler_.callAfter(left, [this, session = session_] {
+  const Duration remaining = feed.next_call_at - time_source_.monotonicTime();
+  if (remaining > Duration::zero()) {
+    scheduler_.callAfter(remaining, [this, session = session_] {
       if (session == session_ && callback_) {
-        askFeeds();
+        startCalls();
       }
     });
     return;
@@ -92,7 +93,7 @@
   ++counters_.watches;
   WatchRequest request = request_;
   request.after = endpoints_.position;
-  if (documents_move_) {
+  if (reads_documents_) {
     request.prefix = settings_.endpoints_prefix;
   } else {
     request.after = std::min(endpoints_.position, documents_.position);
@@ -100,9 +101,9 @@
   if (!endpoints_.has_answered) {
     request.wait = std::min(request.wait, kCatchUpWait);
   }
-  const bool covers_documents = !documents_move_;
-  feeds_.watch(request, [this, covers_documents,
-                         session = session_](const Result<ItemChanges, SourceError>& answer) {
+  const bool covers_documents = !reads_documents_;
+  feed_source_.watch(request, [this, covers_documents,
+                               session = session_](const Result<ItemChanges, SourceError>& answer) {
     if (session != session_) {
       return;
     }
@@ -116,17 +117,17 @@
 
 void SplitFeedSource::readDocuments() {
   ++counters_.document_reads;
-  feeds_.readPage({settings_.documents_prefix, "", ReadConsistency::Latest},
-                  [this, session = session_](const Result<ItemPage, SourceError>& answer) {
-                    if (session != session_) {
-                      return;
-                    }
-                    if (!answer) {
-                      onError(answer.error());
-                      return;
-                    }
-                    onDocuments(answer.value());
-                  });
+  feed_source_.readPage({settings_.documents_prefix, "", ReadConsistency::Latest},
+                        [this, session = session_](const Result<ItemPage, SourceError>& answer) {
+                          if (session != session_) {
+                            return;
+                          }
+                          if (!answer) {
+                            onError(answer.error());
+                            return;
+                          }
+                          onDocuments(answer.value());
+                        });
 }
 
 void SplitFeedSource::onChanges(ItemChanges changes, bool covers_documents) {
@@ -134,34 +135,34 @@
   if (covers_documents) {
     documents_.position = std::max(documents_.position, changes.at);
     documents_.has_answered = true;
-    documents_move_ =
-        settings_.splits &&
+    reads_documents_ =
+        settings_.read_documents_separately &&
         std::any_of(changes.changes.begin(), changes.changes.end(),
                     [this](const ItemChange& change) { return isDocument(change.item.key); });
-    documents_.due_at = time_source_.monotonicTime() + settings_.pause;
+    documents_.next_call_at = time_source_.monotonicTime() + settings_.cooldown;
   }
-  gathered_.insert(gathered_.end(), std::make_move_iterator(changes.changes.begin()),
-                   std::make_move_iterator(changes.changes.end()));
+  pending_changes_.insert(pending_changes_.end(), std::make_move_iterator(changes.changes.begin()),
+                          std::make_move_iterator(changes.changes.end()));
   onAnswered(endpoints_, changes.at, has_changes);
 }
 
 void SplitFeedSource::onDocuments(const ItemPage& page) {
-  std::unordered_set<std::string> shown;
+  std::unordered_set<std::string> page_keys;
   bool has_changes = false;
   for (const Item& item : page.items) {
-    shown.insert(item.key);
+    page_keys.insert(item.key);
     has_changes = has_changes || item.revision > documents_.position;
-    gathered_.push_back({item, false});
+    pending_changes_.push_back({item, false});
   }
-  const auto known =
-      known_keys_ ? known_keys_(settings_.documents_prefix) : std::vector<std::string>();
-  for (const std::string& key : known) {
-    if (!page.more && !shown.contains(key)) {
-      gathered_.push_back({{key, "", page.at, 0}, true});
+  const auto user_keys =
+      list_user_keys_ ? list_user_keys_(settings_.documents_prefix) : std::vector<std::string>();
+  for (const std::string& key : user_keys) {
+    if (!page.more && !page_keys.contains(key)) {
+      pending_changes_.push_back({{key, "", page.at, 0}, true});
       has_changes = true;
     }
   }
-  documents_move_ = has_changes || page.more;
+  reads_documents_ = has_changes || page.more;
   onAnswered(documents_, page.more ? documents_.position : page.at, has_changes);
 }
 
@@ -170,12 +171,12 @@
   feed.has_answered = true;
   feed.position = std::max(feed.position, at);
   feed.answered_at = time_source_.monotonicTime();
-  feed.due_at = feed.answered_at + (has_changes ? settings_.pause : Duration::zero());
+  feed.next_call_at = feed.answered_at + (has_changes ? settings_.cooldown : Duration::zero());
   if (endpoints_.has_answered && documents_.has_answered) {
     has_answer_ = true;
     deliver();
   } else if (callback_) {
-    ask(documents_);
+    startCall(documents_);
   }
 }
 
@@ -195,7 +196,7 @@
   const MonotonicTime now = time_source_.monotonicTime();
   delivered_at_ = now;
   ItemChanges changes;
-  changes.changes = std::exchange(gathered_, {});
+  changes.changes = std::exchange(pending_changes_, {});
   changes.at = std::min(endpoints_.position, documents_.position);
   changes.age_ms = toWireMilliseconds(now - endpoints_.answered_at);
   std::exchange(callback_, nullptr)(std::move(changes));
--- a/src/discovery/split_feed_source.h
+++ b/src/discovery/split_feed_source.h
@@ -17,11 +17,11 @@
    * Whether moving documents are read apart. Worth its calls only where a version fills the link
    * for longer than a poll takes; else one watch tells everything.
    */
-  bool splits = true;
+  bool read_documents_separately = true;
   /** Pause before the next call after one that brought changes, so that a burst needs few calls. */
-  Duration pause = milliseconds(400);
+  Duration cooldown = milliseconds(400);
   /** Time without a watch after which what was told is too old to go on from. */
-  Duration session_gap = milliseconds(1500);
+  Duration session_ttl = milliseconds(1500);
 };
 
 /**
@@ -51,13 +51,13 @@
 class SplitFeedSource : public ItemSource {
  public:
   /** Tells the documents that the user knows by their keys, to find which were deleted. */
-  using KnownKeys = std::function<std::vector<std::string>(const std::string& prefix)>;
+  using ListKeys = std::function<std::vector<std::string>(const std::string& prefix)>;
 
   /** @param source answers whole reads of all items. @param feeds answers everything else. */
-  SplitFeedSource(SplitFeedSettings settings, ItemSource& source, ItemSource& feeds,
+  SplitFeedSource(SplitFeedSettings settings, ItemSource& full_read_source, ItemSource& feed_source,
                   Scheduler& scheduler, const TimeSource& time_source);
 
-  void setKnownKeys(KnownKeys known_keys) { known_keys_ = std::move(known_keys); }
+  void setUserKeys(ListKeys list_user_keys) { list_user_keys_ = std::move(list_user_keys); }
 
   void readPage(const PageRequest& request, PageCallback callback) override;
   void watch(const WatchRequest& request, WatchCallback callback) override;
@@ -72,15 +72,15 @@
     bool in_flight = false;
     bool has_answered = false;
     /** Not asked again before this. */
-    MonotonicTime due_at;
+    MonotonicTime next_call_at;
     MonotonicTime answered_at;
   };
 
   void startSession(Revision after);
   void endSession();
   /** Asks for what is not being asked for, now or when its pause is over. */
-  void askFeeds();
-  void ask(Feed& feed);
+  void startCalls();
+  void startCall(Feed& feed);
   void watchChanges();
   void readDocuments();
 
@@ -95,22 +95,22 @@
   }
 
   const SplitFeedSettings settings_;
-  ItemSource& source_;
-  ItemSource& feeds_;
+  ItemSource& full_read_source_;
+  ItemSource& feed_source_;
   Scheduler& scheduler_;
   const TimeSource& time_source_;
-  KnownKeys known_keys_;
+  ListKeys list_user_keys_;
   /** Endpoints; all items while documents rest. */
   Feed endpoints_;
   Feed documents_;
   /** Documents are read apart, since they have changed or nothing is known of them yet. */
-  bool documents_move_ = true;
+  bool reads_documents_ = true;
   /** Answers to calls of an earlier session are left out. */
   std::uint64_t session_ = 0;
-  bool in_session_ = false;
+  bool has_session_ = false;
   WatchRequest request_;
   WatchCallback callback_;
-  std::vector<ItemChange> gathered_;
+  std::vector<ItemChange> pending_changes_;
   bool has_answer_ = false;
   MonotonicTime delivered_at_;
   SplitFeedCounters counters_;
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -42,7 +42,7 @@
   SplitFeedSettings feeds = settings.split_feeds;
   feeds.endpoints_prefix = layout.endpoints_prefix;
   feeds.documents_prefix = layout.documents_prefix;
-  feeds.splits = settings.link < linkClassOf(kSlowLinkMegabits);
+  feeds.read_documents_separately = settings.link < linkClassOf(kSlowLinkMegabits);
   return feeds;
 }
 
@@ -89,7 +89,7 @@
   awaitSignal();
   deliverStopSignals();
   source_.setListener(this);
-  split_store_.setKnownKeys(
+  split_store_.setUserKeys(
       [this](const std::string& prefix) { return node_.follower().view().keysUnder(prefix); });
   connectPeers();
   connectEvidence();
--- a/tests/discovery/item_view_test.cc
+++ b/tests/discovery/item_view_test.cc
@@ -80,8 +80,8 @@
 TEST_CASE("the oldest deletions are forgotten, and the history before them", "[item_view]") {
   ItemView view = viewOfThree();
   Revision revision = 10;
-  for (int server = 0; server < 3000; ++server) {
-    const std::string key = "server" + std::to_string(server);
+  for (int number = 0; number < 3000; ++number) {
+    const std::string key = "server" + std::to_string(number);
     view.apply(written(key, ++revision));
     view.apply(deleted(key, ++revision));
   }
--- a/tests/discovery/live_configuration_test.cc
+++ b/tests/discovery/live_configuration_test.cc
@@ -16,7 +16,7 @@
 const std::vector<std::string> kZones = {"lac", "ariana", "manouba"};
 
 /** What a registry is to know, kept in the plainest form. */
-struct KnownServer {
+struct ExpectedBackend {
   ServerRecord record;
   Revision created = 0;
   bool retired = false;
@@ -25,7 +25,7 @@
 };
 
 /** A registry and a plain list of what it was told, from which the whole is made for each check. */
-struct RegistryPair {
+struct RegistryHarness {
   std::uint32_t below(std::uint32_t bound) {
     return static_cast<std::uint32_t>(random->below(bound));
   }
@@ -40,46 +40,46 @@
     record.slots = 1 + below(3);
     record.state = below(4) == 0 ? ServerState::Draining : ServerState::Ready;
     record.warmup_left_ms = below(3) == 0 ? 1500 : 0;
-    const auto known = servers.find(key);
-    const Revision created = known == servers.end() ? revision : known->second.created;
+    const auto found = expected_backends.find(key);
+    const Revision created = found == expected_backends.end() ? revision : found->second.created;
     registry.onServer(key, record, revision, created);
-    servers[key] = {record, created, false, {}, false};
-    for (auto& [other_key, other] : servers) {
+    expected_backends[key] = {record, created, false, {}, false};
+    for (auto& [other_key, other] : expected_backends) {
       if (other.missing && other.record.address == record.address) {
         retire(other);
       }
     }
   }
 
-  void retire(KnownServer& server) const {
-    server.retired = true;
-    server.retired_at = time.elapsed;
-    server.missing = false;
+  void retire(ExpectedBackend& expected) const {
+    expected.retired = true;
+    expected.retired_at = time.elapsed;
+    expected.missing = false;
   }
 
-  void anyChange() {
+  void applyRandomChange() {
     ++revision;
     time.elapsed += milliseconds(below(4000));
     const std::uint32_t number = below(30);
     const std::string key = "endpoints/" + std::to_string(number);
-    const auto known = servers.find(key);
-    const bool is_there = known != servers.end() && !known->second.retired;
+    const auto found = expected_backends.find(key);
+    const bool is_present = found != expected_backends.end() && !found->second.retired;
     switch (below(8)) {
       case 0:
         registry.onServerGone(key, revision);
-        if (is_there) {
-          retire(known->second);
+        if (is_present) {
+          retire(found->second);
         }
         break;
       case 1:
         registry.onServerMissing(key, revision);
-        if (is_there) {
-          known->second.missing = true;
+        if (is_present) {
+          found->second.missing = true;
         }
         break;
       case 2:
         registry.retireMissing();
-        for (auto& [other_key, other] : servers) {
+        for (auto& [other_key, other] : expected_backends) {
           if (other.missing) {
             retire(other);
           }
@@ -87,7 +87,7 @@
         break;
       case 3:
         registry.forgetRetired();
-        std::erase_if(servers, [this](const auto& entry) {
+        std::erase_if(expected_backends, [this](const auto& entry) {
           return entry.second.retired && time.elapsed - entry.second.retired_at > kRetiredFor;
         });
         break;
@@ -98,10 +98,10 @@
         registry.onRoutes(routes, revision);
         break;
       case 5:
-        if (zones_out.erase(kZones[number % 3]) > 0) {
+        if (zones_out_of_service.erase(kZones[number % 3]) > 0) {
           registry.onZoneBackInService("zones/" + kZones[number % 3], revision);
         } else {
-          zones_out.insert(kZones[number % 3]);
+          zones_out_of_service.insert(kZones[number % 3]);
           registry.onZoneOutOfService("zones/" + kZones[number % 3], {kZones[number % 3]},
                                       revision);
         }
@@ -113,57 +113,58 @@
   }
 
   /** @return for each id the oldest server that has it. */
-  std::map<BackendId, const KnownServer*> owners() const {
-    std::map<BackendId, const KnownServer*> owners;
-    for (const auto& [key, server] : servers) {
+  std::map<BackendId, const ExpectedBackend*> owners() const {
+    std::map<BackendId, const ExpectedBackend*> owners;
+    for (const auto& [key, expected] : expected_backends) {
       const auto [entry, is_first] =
-          owners.try_emplace(backendIdOfServer(server.record.server_id), &server);
-      if (!is_first && server.created < entry->second->created) {
-        entry->second = &server;
+          owners.try_emplace(backendIdOfServer(expected.record.server_id), &expected);
+      if (!is_first && expected.created < entry->second->created) {
+        entry->second = &expected;
       }
     }
     return owners;
   }
 
-  void checkBackend(const Backend& backend, const KnownServer& server) const {
-    const bool is_cold = server.record.warmup_left_ms > 0 && server.record.service == "listen" &&
-                         !routes.warmups.empty();
-    CHECK(backend.name == server.record.name);
-    CHECK(backend.address == server.record.address);
-    CHECK(backend.slots == server.record.slots);
-    CHECK(backend.retired == server.retired);
-    CHECK(backend.draining == (server.record.state == ServerState::Draining));
-    CHECK(view->service(backend.service)->name == server.record.service);
-    CHECK(view->zone(backend.zone)->name == server.record.zone);
+  void checkBackend(const Backend& backend, const ExpectedBackend& expected) const {
+    const bool is_cold = expected.record.warmup_left_ms > 0 &&
+                         expected.record.service == "listen" && !routes.warmups.empty();
+    CHECK(backend.name == expected.record.name);
+    CHECK(backend.address == expected.record.address);
+    CHECK(backend.slots == expected.record.slots);
+    CHECK(backend.retired == expected.retired);
+    CHECK(backend.draining == (expected.record.state == ServerState::Draining));
+    CHECK(view->service(backend.service)->name == expected.record.service);
+    CHECK(view->zone(backend.zone)->name == expected.record.zone);
     CHECK(backend.cold_flows_per_second ==
           (is_cold ? routes.warmups[0].flows_per_minute / 60.0 : 0));
     CHECK(view->service(backend.service)->allowsZone(backend.zone) ==
-          !zones_out.contains(server.record.zone));
+          !zones_out_of_service.contains(expected.record.zone));
   }
 
   void checkAll() const {
-    std::map<std::string, std::size_t> placeable;
-    std::map<Endpoint, std::size_t> addresses;
-    const auto owned = owners();
-    for (const auto& [id, server] : owned) {
+    std::map<std::string, std::size_t> placeable_count;
+    std::map<Endpoint, std::size_t> address_count;
+    const auto owner_by_id = owners();
+    for (const auto& [id, expected] : owner_by_id) {
       REQUIRE(view->backend(id) != nullptr);
-      checkBackend(*view->backend(id), *server);
-      placeable[server->record.service] += server->retired ? 0 : 1;
-      addresses[server->record.address] += server->retired ? 0 : 1;
+      checkBackend(*view->backend(id), *expected);
+      placeable_count[expected->record.service] += expected->retired ? 0 : 1;
+      address_count[expected->record.address] += expected->retired ? 0 : 1;
     }
-    std::size_t listed = 0;
+    std::size_t listed_count = 0;
     for (const Service& service : view->document().services) {
-      CHECK(view->backendsOf(service.id).size() == placeable[service.name]);
+      CHECK(view->backendsOf(service.id).size() == placeable_count[service.name]);
       for (const Backend* backend : view->backendsOf(service.id)) {
-        REQUIRE(owned.contains(backend->id));
+        REQUIRE(owner_by_id.contains(backend->id));
         CHECK(view->backend(backend->id) == backend);
-        ++listed;
+        ++listed_count;
       }
     }
-    CHECK(listed == placeable["listen"] + placeable["ingest"] + placeable["archive"]);
+    CHECK(listed_count ==
+          placeable_count["listen"] + placeable_count["ingest"] + placeable_count["archive"]);
     for (std::uint32_t number = 0; number < 20; ++number) {
       const Backend* at = view->backendAt(addressOf(number));
-      CHECK((at != nullptr) == (addresses[addressOf(number)] > 0));
+      CHECK((at != nullptr) == (address_count[addressOf(number)] > 0));
       CHECK((at == nullptr || at->address == addressOf(number)));
     }
     CHECK((view->routeAt(kListen) != nullptr) == !routes.routes.empty());
@@ -178,20 +179,20 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(11);
   BackendRegistry registry{kRetiredFor, time, log};
   const ConfigurationViewPtr view = registry.configuration();
-  std::map<std::string, KnownServer> servers;
-  std::set<std::string> zones_out;
+  std::map<std::string, ExpectedBackend> expected_backends;
+  std::set<std::string> zones_out_of_service;
   RouteTable routes;
   Revision revision = 0;
 };
 
 TEST_CASE("a configuration that is kept up to date is that made of all that is known",
           "[live_configuration]") {
-  RegistryPair pair;
+  RegistryHarness harness;
   for (int step = 0; step < 3000; ++step) {
-    pair.anyChange();
-    if (pair.below(3) == 0) {
-      pair.registry.updateConfiguration();
-      pair.checkAll();
+    harness.applyRandomChange();
+    if (harness.below(3) == 0) {
+      harness.registry.updateConfiguration();
+      harness.checkAll();
     }
   }
 }
--- a/tests/discovery/split_feed_source_test.cc
+++ b/tests/discovery/split_feed_source_test.cc
@@ -24,7 +24,7 @@
   }
 
   /** Comes to know both kinds of items at a revision, and watches on. */
-  void begin(Revision after) {
+  void startSession(Revision after) {
     watch(after, milliseconds(1));
     store.answerWatch(kBackends, ItemChanges{{}, after});
     store.answerPage(kDocuments, ItemPage{{}, false, after});
@@ -33,13 +33,13 @@
   }
 
   /** Documents begin to change. */
-  void moveDocuments() {
+  void changeDocuments() {
     store.answerWatch(kAll, ItemChanges{{written("documents/routes", 11)}, 11});
     watch(11);
-    scheduler.advance(settings.pause);
+    scheduler.advance(settings.cooldown);
   }
 
-  std::vector<std::string> toldKeys() const {
+  std::vector<std::string> changedKeys() const {
     std::vector<std::string> keys;
     for (const ItemChange& change : answer->value().changes) {
       keys.push_back((change.deleted ? "-" : "") + change.item.key);
@@ -49,10 +49,10 @@
 
   ManualTimeSource time;
   ManualScheduler scheduler{time};
-  ManualSource whole;
+  ManualSource full_read_source;
   ManualSource store;
   SplitFeedSettings settings{kBackends, kDocuments};
-  SplitFeedSource source{settings, whole, store, scheduler, time};
+  SplitFeedSource source{settings, full_read_source, store, scheduler, time};
   std::optional<Result<ItemChanges, SourceError>> answer;
 };
 
@@ -65,13 +65,13 @@
   CHECK_FALSE(harness.answer.has_value());
   harness.store.answerPage(kDocuments, ItemPage{{item("documents/routes", 3)}, false, 13});
   REQUIRE(harness.answer.has_value());
-  CHECK(harness.toldKeys() == std::vector<std::string>{"backends/a", "documents/routes"});
+  CHECK(harness.changedKeys() == std::vector<std::string>{"backends/a", "documents/routes"});
   CHECK(harness.answer->value().at == 13);
 }
 
 TEST_CASE("one watch tells all changes while documents rest", "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
+  harness.startSession(10);
   const std::uint64_t reads = harness.source.counters().document_reads;
   for (Revision revision = 11; revision < 20; ++revision) {
     CHECK(harness.store.watch_requests.back().prefix == kAll);
@@ -79,7 +79,7 @@
     harness.store.answerWatch(kAll, ItemChanges{{written("backends/a", revision)}, revision});
     CHECK(harness.answer->value().at == revision);
     harness.watch(revision);
-    harness.scheduler.advance(harness.settings.pause);
+    harness.scheduler.advance(harness.settings.cooldown);
   }
   CHECK(harness.source.counters().document_reads == reads);
 }
@@ -88,13 +88,14 @@
           "[split_feed_source]") {
   SplitHarness harness;
   SplitFeedSettings settings = harness.settings;
-  settings.splits = false;
-  SplitFeedSource source(settings, harness.whole, harness.store, harness.scheduler, harness.time);
+  settings.read_documents_separately = false;
+  SplitFeedSource source(settings, harness.full_read_source, harness.store, harness.scheduler,
+                         harness.time);
   for (Revision revision = 11; revision < 20; ++revision) {
     std::optional<Result<ItemChanges, SourceError>> answer;
     source.watch({kAll, revision - 1, seconds(1)},
                  [&](Result<ItemChanges, SourceError> result) { answer = std::move(result); });
-    harness.scheduler.advance(harness.settings.pause);
+    harness.scheduler.advance(harness.settings.cooldown);
     CHECK(harness.store.watch_requests.back().after == revision - 1);
     harness.store.answerWatch(kAll, ItemChanges{{written("documents/routes", revision)}, revision});
     REQUIRE(answer.has_value());
@@ -107,25 +108,25 @@
 TEST_CASE("a server's change is told at once while documents are on their way",
           "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
-  harness.moveDocuments();
+  harness.startSession(10);
+  harness.changeDocuments();
   REQUIRE(harness.store.hasPage(kDocuments));
   harness.store.answerWatch(kBackends, ItemChanges{{written("backends/a", 12)}, 12});
   REQUIRE(harness.answer.has_value());
-  CHECK(harness.toldKeys() == std::vector<std::string>{"backends/a"});
+  CHECK(harness.changedKeys() == std::vector<std::string>{"backends/a"});
   // The documents are only known up to here.
   CHECK(harness.answer->value().at == 11);
 }
 
 TEST_CASE("once documents move their newest state is read until it rests", "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
-  harness.moveDocuments();
+  harness.startSession(10);
+  harness.changeDocuments();
   harness.store.answerPage(kDocuments, ItemPage{{item("documents/routes", 30)}, false, 31});
-  CHECK(harness.toldKeys() == std::vector<std::string>{"documents/routes"});
+  CHECK(harness.changedKeys() == std::vector<std::string>{"documents/routes"});
   harness.watch(11);
   CHECK_FALSE(harness.store.hasPage(kDocuments));
-  harness.scheduler.advance(harness.settings.pause);
+  harness.scheduler.advance(harness.settings.cooldown);
   harness.store.answerPage(kDocuments, ItemPage{{item("documents/routes", 30)}, false, 40});
   harness.watch(11);
   // The watch of the endpoints is still open; the next one covers all again, and misses nothing.
@@ -139,13 +140,13 @@
 
 TEST_CASE("a document that the newest state lacks is told as deleted", "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
-  harness.source.setKnownKeys(
+  harness.startSession(10);
+  harness.source.setUserKeys(
       [](const std::string&) { return std::vector<std::string>{"documents/zone"}; });
-  harness.moveDocuments();
+  harness.changeDocuments();
   const bool has_more = GENERATE(false, true);
   harness.store.answerPage(kDocuments, ItemPage{{item("documents/routes", 30)}, has_more, 31});
-  const auto keys = harness.toldKeys();
+  const auto keys = harness.changedKeys();
   CHECK((std::count(keys.begin(), keys.end(), "-documents/zone") == 1) == !has_more);
 }
 
@@ -153,12 +154,12 @@
   const SourceError error = GENERATE(SourceError::NoAnswer, SourceError::Throttled,
                                      SourceError::Unavailable, SourceError::HistoryGone);
   SplitHarness harness;
-  harness.begin(10);
+  harness.startSession(10);
   SECTION("of the watch") {
     harness.store.answerWatch(kAll, error);
   }
   SECTION("of a read of documents") {
-    harness.moveDocuments();
+    harness.changeDocuments();
     harness.store.answerPage(kDocuments, error);
   }
   REQUIRE(harness.answer.has_value());
@@ -173,19 +174,19 @@
 
 TEST_CASE("a burst of changes needs one watch for each pause", "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
+  harness.startSession(10);
   const std::uint64_t before = harness.source.counters().watches;
   harness.store.answerWatch(kAll, ItemChanges{{written("backends/a", 11)}, 11});
   harness.watch(11);
   CHECK(harness.source.counters().watches == before);
-  harness.scheduler.advance(harness.settings.pause);
+  harness.scheduler.advance(harness.settings.cooldown);
   CHECK(harness.source.counters().watches == before + 1);
 }
 
 TEST_CASE("who comes back after a while gets what came since, not what was gathered then",
           "[split_feed_source]") {
   SplitHarness harness;
-  harness.begin(10);
+  harness.startSession(10);
   harness.scheduler.advance(seconds(5));
   harness.watch(50, milliseconds(1));
   CHECK(harness.store.watch_requests.back().prefix == kBackends);
--- a/tests/discovery/upstream_selector_test.cc
+++ b/tests/discovery/upstream_selector_test.cc
@@ -28,12 +28,12 @@
 
 /** One balancer with its directory and selector. */
 struct Balancer {
-  Balancer(Endpoint own_address, const std::vector<Endpoint>& known, ManualTimeSource& time,
+  Balancer(Endpoint own_address, const std::vector<Endpoint>& peers, ManualTimeSource& time,
            double watchers_per_root = kWatchersPerRoot)
       : directory({}, own_address, {}, time, *random),
         own(own_address),
         selector({watchers_per_root}, own, directory) {
-    directory.onTold(knownPeers(known));
+    directory.onTold(knownPeers(peers));
   }
 
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
@@ -65,13 +65,13 @@
   ManualTimeSource time;
   const auto random = makeSeededRandom(3);
   for (const Endpoint& own : fleet()) {
-    std::vector<Endpoint> known;
+    std::vector<Endpoint> peers;
     for (const Endpoint& peer : fleet()) {
       if (random->below(3) == 0) {
-        known.push_back(peer);
+        peers.push_back(peer);
       }
     }
-    Balancer balancer(own, known, time);
+    Balancer balancer(own, peers, time);
     for (const Endpoint& upstream : balancer.selector.upstreams()) {
       CHECK(peerRank(upstream) < peerRank(own));
     }
