--- a/src/discovery/item_source.h
+++ b/src/discovery/item_source.h
@@ -10,44 +10,44 @@
 #include "common/time_source.h"
 
 /**
- * Reads of a store of versioned items, as the discovery of routes and back ends needs them. The
- * adapter of each platform implements ItemSource.
+ * Read interface to a store of versioned items, used to discover routes and backends. The adapter
+ * of each platform implements ItemSource.
  */
 namespace lugfork {
 
 /** Position in the store's single sequence of changes. */
 using Revision = std::uint64_t;
 
-/** One key of the store with its content. */
+/** Key, value and revisions of one entry of the store. */
 struct Item {
   std::string key;
   std::string value;
-  /** The item's last change. */
+  /** Revision of the last change of the item. */
   Revision revision = 0;
-  /** The change that created the item. */
+  /** Revision of the change that created the item. */
   Revision created = 0;
   auto fields() { return std::tie(key, value, revision, created); }
 };
 
-/** Part of the items under a prefix, in the order of their keys. */
+/** Page of the items under a prefix, ordered by key. */
 struct ItemPage {
   std::vector<Item> items;
-  /** More items follow after the last of these. */
+  /** More items follow after the last one of this page. */
   bool more = false;
-  /** The store's revision when it answered. */
+  /** Revision of the store at the time of the answer. */
   Revision at = 0;
-  /** Time since the store told this to who answers; 0 where that is the store [ms]. */
+  /** Time since the answering peer got this from the store; 0 if the store answers [ms]. */
   std::uint32_t age_ms = 0;
   /**
-   * The page is another balancer's whole view: it takes the place of the pages before it, and
-   * nothing up to `at` is missing.
+   * The page is the whole view of a peer: it replaces the pages before it, and includes all changes
+   * up to `at`.
    */
   bool is_whole_view = false;
-  /** Items that name no key or no revision, and are left out. */
+  /** Number of items skipped because they have no key or no revision. */
   std::uint32_t unreadable = 0;
 };
 
-/** What happened to one key. */
+/** Change of one key. */
 struct ItemChange {
   Item item;
   /** The key was deleted by the change; the item has no value. */
@@ -58,7 +58,7 @@
 /** Changes under a prefix, oldest first. */
 struct ItemChanges {
   std::vector<ItemChange> changes;
-  /** Revision from which the next watch goes on. */
+  /** Revision from which the next watch continues. */
   Revision at = 0;
   /** As in ItemPage. */
   std::uint32_t age_ms = 0;
@@ -66,44 +66,44 @@
   std::uint32_t unreadable = 0;
 };
 
-/** Why a call gave no answer that can be used. */
+/** Reason why a call returned no usable answer. */
 enum class SourceError : std::uint8_t {
   NotFound,
-  /** The changes asked for are forgotten: the items must be read anew. */
+  /** The requested changes are no longer available: the items must be read again. */
   HistoryGone,
-  /** Too many calls for now. */
+  /** The store rejected the call because of too many calls. */
   Throttled,
-  /** The store says that it can't serve now; nothing was done. */
+  /** The store reports that it cannot serve the call at present; nothing was done. */
   Unavailable,
-  /** The connection failed, or no answer came in time. */
+  /** The connection failed, or the call timed out. */
   NoAnswer,
-  /** The answer can't be read: cut short, too large or of another form. */
+  /** The answer cannot be decoded: truncated, too large or of an unexpected format. */
   Malformed,
   Last = Malformed,
 };
 
-/** Stable name of an error, for logs and metrics. */
+/** @return the stable name used in logs and metrics. */
 const char* toString(SourceError error);
 
-/** Whether a read may be served by a replica that lags behind. */
+/** Whether a lagging replica may serve a read. */
 enum class ReadConsistency { Latest, MayBeStale };
 
 struct PageRequest {
   std::string prefix;
-  /** Key after which the page begins; empty for the first page. */
+  /** Key after which the page starts; empty for the first page. */
   std::string after_key;
   ReadConsistency consistency = ReadConsistency::Latest;
 };
 
 struct WatchRequest {
   std::string prefix;
-  /** Only changes after this one are told. */
+  /** Only changes after this revision are returned. */
   Revision after = 0;
-  /** Longest time for which the answer is held back while there is no change. */
+  /** Longest time that the answer is delayed while there is no change. */
   Duration wait{};
 };
 
-/** Calls to one store. Each callback is called once, from the event loop and never at once. */
+/** Calls to one store. Each callback runs once, from the event loop, not within the call. */
 class ItemSource {
  public:
   virtual ~ItemSource() = default;
--- a/src/discovery/item_view.cc
+++ b/src/discovery/item_view.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Deletions remembered: more than a release of a thousand servers makes (chosen). */
+/** Limit of deletions kept: more than a release of a thousand backends causes. */
 constexpr std::size_t kMaxDeletions = 1024;
 
 }  // namespace
@@ -18,7 +18,7 @@
 }
 
 ItemView::Entry& ItemView::entryOf(const std::string& key) {
-  // Pages are in the order of their keys: a first view then compares each key with one other.
+  // Pages are ordered by key, so the first full read needs only one comparison for each key.
   const bool is_last_key = entries_.empty() || std::prev(entries_.end())->first < key;
   return is_last_key ? entries_.try_emplace(entries_.end(), key)->second : entries_[key];
 }
--- a/src/discovery/item_view.h
+++ b/src/discovery/item_view.h
@@ -10,49 +10,49 @@
 namespace lugfork {
 
 /**
- * What is known of the items under one prefix. For each key the highest revision wins, whichever
- * order answers come in: nothing goes back.
+ * Local copy of the items under one prefix. Each key keeps its highest revision, whatever the order
+ * of the answers, so that no item reverts to an older state.
  */
 class ItemView {
  public:
   static constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
 
-  /** @return true if the change is newer than what was known. */
+  /** @return true if the change is newer than the key's entry. */
   bool apply(const ItemChange& change);
 
-  /** Starts to collect a full read; an unfinished one is forgotten. */
+  /** Starts a full read; an unfinished one is discarded. */
   void startFullRead();
 
-  /** @return the items of the page that are newer than what was known. */
+  /** @return the items of the page that are newer than their entries. */
   std::vector<ItemChange> applyPage(ItemPage page);
 
   /**
-   * Ends a full read: keys that it did not show and that were not written since are deleted. Since
-   * nobody tells when, they count as deleted at the read's revision; so what has changed since an
-   * earlier revision is known across a full read, and followers need no whole view for it.
+   * Finishes a full read: keys that it did not contain and that were not written since are deleted.
+   * The time of their deletion is unknown, so they count as deleted at the read's revision. The
+   * history of changes thus continues across a full read, and followers need no whole view.
    * @return the deletions.
    */
   std::vector<ItemChange> finishFullRead();
 
-  /** @return the revision of the full read's first page, from which a watch misses nothing. */
+  /** @return the revision of the full read's first page; a watch from it misses no change. */
   Revision fullReadRevision() const { return full_read_revision_.value_or(0); }
 
-  /** @return the highest revision seen in an item or a deletion. */
+  /** @return the highest revision of any item or deletion. */
   Revision newestRevision() const { return newest_revision_; }
 
-  /** @return the keys under a prefix that exist, as far as is known. */
+  /** @return the keys under a prefix that exist in this view. */
   std::vector<std::string> keysUnder(const std::string& prefix) const;
 
-  /** Notes that all changes up to a revision have been told. */
+  /** Records that all changes up to a revision have been received. */
   void setPosition(Revision at) { position_ = std::max(position_, at); }
   Revision position() const { return position_; }
 
-  /** @return the items after a key, as this view knows them; for nodes that follow this one. */
+  /** @return the items after a key, to be sent to followers. */
   ItemPage page(const std::string& after_key, std::size_t limit) const;
 
   /**
-   * @param limit most changes; where there are more, `at` of the answer is the last one's revision.
-   * @return the changes after a revision; nothing where this view began later than that.
+   * @param limit maximum number of changes; if there are more, `at` is the last one's revision.
+   * @return the changes after a revision; nothing if the history does not reach back that far.
    */
   std::optional<ItemChanges> changesAfter(Revision after, std::size_t limit = kNoLimit) const;
 
@@ -60,28 +60,28 @@
   struct Entry {
     Item item;
     bool deleted = false;
-    /** The full read that has shown it last. */
+    /** Number of the last full read that contained the key. */
     std::uint64_t seen_in = 0;
   };
   using Entries = std::map<std::string, Entry>;
 
-  /** @return what is known of a key, which is entered where it was not. */
+  /** @return the entry of a key, which is inserted if it does not exist. */
   Entry& entryOf(const std::string& key);
   bool apply(Entry& entry, const ItemChange& change);
   void removeFromIndex(const Entry& entry);
-  /** Forgets the oldest deletions beyond a limit, and with them the history before. */
+  /** Removes the oldest deletions beyond the limit, and with them the history before them. */
   void pruneDeletions();
 
   Entries entries_;
-  /** What is known, in the order of its last changes; elements of the map stay where they are. */
+  /** Entries ordered by their last change; pointers to elements of the map stay valid. */
   std::multimap<Revision, const Entry*> by_revision_;
   std::size_t deletion_count_ = 0;
-  /** Number of the full read that is under way, or was last. */
+  /** Number of the current full read, or of the last one. */
   std::uint64_t full_read_number_ = 1;
   std::optional<Revision> full_read_revision_;
   Revision newest_revision_ = 0;
   Revision position_ = 0;
-  /** Deletions up to here may be unknown. */
+  /** Deletions up to this revision may be missing. */
   Revision history_from_ = 0;
   bool has_full_read_ = false;
 };
--- a/src/discovery/split_feed_source.cc
+++ b/src/discovery/split_feed_source.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Wait of a session's first watch, which shows what has changed before. */
+/** Wait of a session's first watch, which returns earlier changes. */
 constexpr Duration kCatchUpWait = milliseconds(1);
 
 }  // namespace
@@ -38,7 +38,7 @@
   documents_.position = std::max(documents_.position, request.after);
   startCalls();
   if (has_answer_) {
-    // Never at once: the caller may still be inside its call.
+    // Deferred, because callbacks must not run within the call that they answer.
     scheduler_.callAfter(Duration::zero(), [this] { deliver(); });
   }
 }
@@ -62,7 +62,7 @@
 
 void SplitFeedSource::startCalls() {
   startCall(endpoints_);
-  // A store that does not answer costs one call, not two.
+  // One call suffices to detect that the store does not answer.
   if (endpoints_.has_answered && reads_documents_) {
     startCall(documents_);
   }
--- a/src/discovery/split_feed_source.h
+++ b/src/discovery/split_feed_source.h
@@ -7,53 +7,56 @@
 
 namespace lugfork {
 
-/** Which items are watched apart, and how. */
+/** Settings of SplitFeedSource. */
 struct SplitFeedSettings {
-  /** Prefix of the servers' items: small and urgent, each change counts. */
+  /** Prefix of the backends' items, which are small and urgent: each change matters. */
   std::string endpoints_prefix;
-  /** Prefix of the operator's documents: large, and only the newest state of each counts. */
+  /** Prefix of the operator's documents, which are large: only their latest state matters. */
   std::string documents_prefix;
   /**
-   * Whether moving documents are read apart. Worth its calls only where a version fills the link
-   * for longer than a poll takes; else one watch tells everything.
+   * Whether changing documents are read separately. This pays off only if one version occupies the
+   * link for longer than a poll takes; otherwise a single watch returns all changes.
    */
   bool read_documents_separately = true;
-  /** Pause before the next call after one that brought changes, so that a burst needs few calls. */
+  /** Delay of the next call after one that returned changes, so that a burst needs few calls. */
   Duration cooldown = milliseconds(400);
-  /** Time without a watch after which what was told is too old to go on from. */
+  /** Time without a watch after which a session is too old to be continued. */
   Duration session_ttl = milliseconds(1500);
 };
 
 /**
- * Links below this rate read moving documents apart [Mbit/s]: a configuration of 1,700 routes, 0.45
- * MB in the store's text, fills such a link for 0.1 s. With links of 10 Mbit/s alone, one watch
- * left views 5 s old in a storm and drained servers got flows; on links of 200 Mbit/s reading apart
- * only cost 100 to 200 calls of 450.
+ * Balancers with links below this rate read changing documents separately [Mbit/s]. A configuration
+ * of 1,700 routes, 0.45 MB in the store's text format, occupies such a link for 0.1 s. On links of
+ * 10 Mbit/s a single watch let views become 5 s old during a storm of changes, so that draining
+ * backends got flows. On links of 200 Mbit/s separate reads only added 100 to 200 calls of 450.
  */
 inline constexpr double kSlowLinkMegabits = 40;
 
-/** Counts of a SplitFeedSource. */
+/** Counters of SplitFeedSource. */
 struct SplitFeedCounters {
   std::uint64_t watches = 0;
-  /** Reads of the newest documents, in place of each version in between. */
+  /** Reads of the latest documents, which replace a watch of each version. */
   std::uint64_t document_reads = 0;
 };
 
 /**
- * Watches a store so that a server's change never waits behind versions of a large configuration on
- * a slow link. While the operator's documents rest, one watch tells all changes. Once they move,
- * the endpoints are watched alone, and the newest state of the documents is read at intervals until
- * it rests again: a watch would bring every version in between.
+ * Watches a store so that the change of a backend is not delayed by versions of a large
+ * configuration on a slow link. While the operator's documents do not change, one watch returns all
+ * changes. Once they change, only the endpoints are watched, and the latest documents are read at
+ * intervals until they stop changing: a watch would return every intermediate version.
  *
- * One watch at a time is open towards the user. Its answers lead to the revision up to which both
- * kinds are known; changes beyond it are told as soon as they are there.
+ * The user has one watch open at a time. The revision of its answers is the one up to which both
+ * kinds of items are complete; later changes are delivered as soon as they arrive.
  */
 class SplitFeedSource : public ItemSource {
  public:
-  /** Tells the documents that the user knows by their keys, to find which were deleted. */
+  /** Returns the user's keys under a prefix; documents missing from a read were deleted. */
   using ListKeys = std::function<std::vector<std::string>(const std::string& prefix)>;
 
-  /** @param source answers whole reads of all items. @param feeds answers everything else. */
+  /**
+   * @param full_read_source serves full reads of all items.
+   * @param feed_source serves all other calls.
+   */
   SplitFeedSource(SplitFeedSettings settings, ItemSource& full_read_source, ItemSource& feed_source,
                   Scheduler& scheduler, const TimeSource& time_source);
 
@@ -65,20 +68,20 @@
   const SplitFeedCounters& counters() const { return counters_; }
 
  private:
-  /** What is known of the items under one prefix. */
+  /** State of the calls for one kind of items. */
   struct Feed {
-    /** All changes up to this one have been told. */
+    /** All changes up to this revision have been received. */
     Revision position = 0;
     bool in_flight = false;
     bool has_answered = false;
-    /** Not asked again before this. */
+    /** Earliest time of the next call. */
     MonotonicTime next_call_at;
     MonotonicTime answered_at;
   };
 
   void startSession(Revision after);
   void endSession();
-  /** Asks for what is not being asked for, now or when its pause is over. */
+  /** Starts the calls that are not in flight, now or once their delay is over. */
   void startCalls();
   void startCall(Feed& feed);
   void watchChanges();
@@ -88,7 +91,7 @@
   void onDocuments(const ItemPage& page);
   void onAnswered(Feed& feed, Revision at, bool has_changes);
   void onError(SourceError error);
-  /** Answers the user's watch where there is something to tell. */
+  /** Answers the user's watch if there is an answer. */
   void deliver();
   bool isDocument(const std::string& key) const {
     return key.starts_with(settings_.documents_prefix);
@@ -100,12 +103,12 @@
   Scheduler& scheduler_;
   const TimeSource& time_source_;
   ListKeys list_user_keys_;
-  /** Endpoints; all items while documents rest. */
+  /** Endpoints; all items while documents do not change. */
   Feed endpoints_;
   Feed documents_;
-  /** Documents are read apart, since they have changed or nothing is known of them yet. */
+  /** Documents are read separately: they have changed, or have not been read yet. */
   bool reads_documents_ = true;
-  /** Answers to calls of an earlier session are left out. */
+  /** Answers to calls of earlier sessions are ignored. */
   std::uint64_t session_ = 0;
   bool has_session_ = false;
   WatchRequest request_;
--- a/src/discovery/upstream_source.h
+++ b/src/discovery/upstream_source.h
@@ -39,7 +39,7 @@
 /** @return the stable name used in logs and metrics. */
 const char* toString(Upstream upstream);
 
-/** Is notified when the upstream changes. */
+/** Receives changes of the upstream. */
 class UpstreamListener {
  public:
   virtual ~UpstreamListener() = default;
--- a/tests/discovery/item_view_test.cc
+++ b/tests/discovery/item_view_test.cc
@@ -16,7 +16,7 @@
   return view;
 }
 
-TEST_CASE("a view tells its items in pages", "[item_view]") {
+TEST_CASE("a view returns its items in pages", "[item_view]") {
   ItemView view = viewOfThree();
   view.apply(deleted("b", 11));
   const ItemPage first = view.page("", 1);
@@ -29,7 +29,7 @@
   CHECK_FALSE(second.more);
 }
 
-TEST_CASE("a view tells what came after a revision, oldest first", "[item_view]") {
+TEST_CASE("a view returns the changes after a revision, oldest first", "[item_view]") {
   ItemView view = viewOfThree();
   view.apply(written("c", 14));
   view.apply(deleted("a", 12));
@@ -43,14 +43,14 @@
   CHECK(changes->changes[1].item.key == "c");
 }
 
-TEST_CASE("a view does not know deletions from before its first read", "[item_view]") {
+TEST_CASE("changes from before the first full read are unavailable", "[item_view]") {
   const ItemView view = viewOfThree();
   CHECK_FALSE(view.changesAfter(9).has_value());
   CHECK(view.changesAfter(10).has_value());
 }
 
-/** Else each lost history would cost every follower a whole view. */
-TEST_CASE("changes from before a later full read are known, deletions that it found included",
+/** Guards against a whole view for every follower each time the store's history is lost. */
+TEST_CASE("changes from before a later full read are available, with the deletions it detected",
           "[item_view]") {
   ItemView view = viewOfThree();
   view.apply(written("c", 12));
@@ -72,12 +72,12 @@
   CHECK(changes->changes[3].item.key == "a");
   CHECK(changes->changes[3].deleted);
   CHECK(changes->changes[3].item.revision == 20);
-  // A server that comes back under the same key is newer.
+  // A backend that returns under the same key has a newer revision.
   CHECK(view.apply(written("a", 21)));
   CHECK(view.page("", 10).items.size() == 3);
 }
 
-TEST_CASE("the oldest deletions are forgotten, and the history before them", "[item_view]") {
+TEST_CASE("the oldest deletions are pruned, and the history before them", "[item_view]") {
   ItemView view = viewOfThree();
   Revision revision = 10;
   for (int number = 0; number < 3000; ++number) {
--- a/tests/discovery/live_configuration_test.cc
+++ b/tests/discovery/live_configuration_test.cc
@@ -15,7 +15,7 @@
 const std::vector<std::string> kServices = {"listen", "ingest", "archive"};
 const std::vector<std::string> kZones = {"lac", "ariana", "manouba"};
 
-/** What a registry is to know, kept in the plainest form. */
+/** Expected state of one backend in the reference model. */
 struct ExpectedBackend {
   ServerRecord record;
   Revision created = 0;
@@ -24,7 +24,7 @@
   bool missing = false;
 };
 
-/** A registry and a plain list of what it was told, from which the whole is made for each check. */
+/** A registry and a reference model, from which each check derives the expected state. */
 struct RegistryHarness {
   std::uint32_t below(std::uint32_t bound) {
     return static_cast<std::uint32_t>(random->below(bound));
@@ -107,12 +107,12 @@
         }
         break;
       default:
-        // Two servers in a few share the id that goes into tokens.
+        // Some backends share the id that is encoded in tokens.
         write(key, (std::uint64_t{number} << 32) + (number % 10 == 0 ? 1 + number : 5000));
     }
   }
 
-  /** @return for each id the oldest server that has it. */
+  /** @return the oldest backend for each id. */
   std::map<BackendId, const ExpectedBackend*> owners() const {
     std::map<BackendId, const ExpectedBackend*> owners;
     for (const auto& [key, expected] : expected_backends) {
@@ -185,7 +185,7 @@
   Revision revision = 0;
 };
 
-TEST_CASE("a configuration that is kept up to date is that made of all that is known",
+TEST_CASE("a configuration updated by increments equals one built from the whole state",
           "[live_configuration]") {
   RegistryHarness harness;
   for (int step = 0; step < 3000; ++step) {
@@ -197,7 +197,7 @@
   }
 }
 
-TEST_CASE("a back end stays where it is while it changes, and is kept until all let go of it",
+TEST_CASE("a backend keeps its address in memory while it changes, and is returned on removal",
           "[live_configuration]") {
   LiveConfiguration configuration;
   const Backend* first = configuration.put(makeBackend(1, ServiceId(1), kLac));
@@ -214,7 +214,7 @@
   CHECK(configuration.take(BackendId(1)) == nullptr);
 }
 
-TEST_CASE("a retired back end's address is free, that of two is taken until both are gone",
+TEST_CASE("a shared address is free only once both backends are removed or retired",
           "[live_configuration]") {
   LiveConfiguration configuration;
   Backend second = makeBackend(2, ServiceId(1), kLac);
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -1,6 +1,6 @@
 /**
- * Guards against a SYN being forwarded to a draining backend: 5,212 ms after the drain had been
- * acknowledged, where 5,000 ms are allowed.
+ * Guards against new flows to a draining backend: a SYN was forwarded to it 5,212 ms after the
+ * drain had been acknowledged, where 5,000 ms are allowed.
  *
  * Watchers saturate their links with a large configuration, so no upstream answers the followers
  * while ten backends start to drain. A follower waits for its polls, then for its turn to probe the
--- a/tests/discovery/split_feed_source_test.cc
+++ b/tests/discovery/split_feed_source_test.cc
@@ -14,7 +14,7 @@
 
 const std::string kAll = "all/";
 
-/** A user who watches all items, and the store that the test plays. */
+/** A user that watches all items, and a store with scripted answers. */
 struct SplitHarness {
   void watch(Revision after, Duration wait = seconds(1)) {
     answer.reset();
@@ -23,7 +23,7 @@
     scheduler.advance(Duration::zero());
   }
 
-  /** Comes to know both kinds of items at a revision, and watches on. */
+  /** Receives both kinds of items at a revision, then starts the next watch. */
   void startSession(Revision after) {
     watch(after, milliseconds(1));
     store.answerWatch(kBackends, ItemChanges{{}, after});
@@ -32,7 +32,7 @@
     watch(after);
   }
 
-  /** Documents begin to change. */
+  /** Reports a change of a document and waits until documents are read separately. */
   void changeDocuments() {
     store.answerWatch(kAll, ItemChanges{{written("documents/routes", 11)}, 11});
     watch(11);
@@ -56,7 +56,8 @@
   std::optional<Result<ItemChanges, SourceError>> answer;
 };
 
-TEST_CASE("a first watch is answered once servers and documents are known", "[split_feed_source]") {
+TEST_CASE("the first watch is answered once backends and documents have been received",
+          "[split_feed_source]") {
   SplitHarness harness;
   harness.watch(10, milliseconds(1));
   CHECK_FALSE(harness.store.hasPage(kDocuments));
@@ -69,7 +70,7 @@
   CHECK(harness.answer->value().at == 13);
 }
 
-TEST_CASE("one watch tells all changes while documents rest", "[split_feed_source]") {
+TEST_CASE("one watch returns all changes while documents do not change", "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
   const std::uint64_t reads = harness.source.counters().document_reads;
@@ -84,7 +85,7 @@
   CHECK(harness.source.counters().document_reads == reads);
 }
 
-TEST_CASE("on a fast link one watch tells all changes, also while documents move",
+TEST_CASE("on a fast link one watch returns all changes, even while documents change",
           "[split_feed_source]") {
   SplitHarness harness;
   SplitFeedSettings settings = harness.settings;
@@ -105,7 +106,7 @@
   CHECK(source.counters().watches == 9);
 }
 
-TEST_CASE("a server's change is told at once while documents are on their way",
+TEST_CASE("a backend's change is delivered at once while a read of documents is in flight",
           "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
@@ -114,11 +115,12 @@
   harness.store.answerWatch(kBackends, ItemChanges{{written("backends/a", 12)}, 12});
   REQUIRE(harness.answer.has_value());
   CHECK(harness.changedKeys() == std::vector<std::string>{"backends/a"});
-  // The documents are only known up to here.
+  // The documents are complete only up to this revision.
   CHECK(harness.answer->value().at == 11);
 }
 
-TEST_CASE("once documents move their newest state is read until it rests", "[split_feed_source]") {
+TEST_CASE("changing documents are read at intervals until they stop changing",
+          "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
   harness.changeDocuments();
@@ -129,7 +131,7 @@
   harness.scheduler.advance(harness.settings.cooldown);
   harness.store.answerPage(kDocuments, ItemPage{{item("documents/routes", 30)}, false, 40});
   harness.watch(11);
-  // The watch of the endpoints is still open; the next one covers all again, and misses nothing.
+  // The watch of the endpoints is still open; the next one covers all items and misses no change.
   harness.store.answerWatch(kBackends, ItemChanges{{}, 45});
   CHECK(harness.answer->value().at == 40);
   harness.watch(40);
@@ -138,7 +140,7 @@
   CHECK(harness.store.watch_requests.back().after == 40);
 }
 
-TEST_CASE("a document that the newest state lacks is told as deleted", "[split_feed_source]") {
+TEST_CASE("a document missing from a complete read is reported as deleted", "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
   harness.source.setUserKeys(
@@ -150,15 +152,16 @@
   CHECK((std::count(keys.begin(), keys.end(), "-documents/zone") == 1) == !has_more);
 }
 
-TEST_CASE("an error is told, and the next watch begins with one call", "[split_feed_source]") {
+TEST_CASE("an error is reported, and the next watch starts with a single call",
+          "[split_feed_source]") {
   const SourceError error = GENERATE(SourceError::NoAnswer, SourceError::Throttled,
                                      SourceError::Unavailable, SourceError::HistoryGone);
   SplitHarness harness;
   harness.startSession(10);
-  SECTION("of the watch") {
+  SECTION("error of the watch") {
     harness.store.answerWatch(kAll, error);
   }
-  SECTION("of a read of documents") {
+  SECTION("error of a read of documents") {
     harness.changeDocuments();
     harness.store.answerPage(kDocuments, error);
   }
@@ -172,7 +175,7 @@
   CHECK(harness.store.watch_requests.back().prefix == kBackends);
 }
 
-TEST_CASE("a burst of changes needs one watch for each pause", "[split_feed_source]") {
+TEST_CASE("a burst of changes needs one watch per cooldown", "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
   const std::uint64_t before = harness.source.counters().watches;
@@ -183,7 +186,7 @@
   CHECK(harness.source.counters().watches == before + 1);
 }
 
-TEST_CASE("who comes back after a while gets what came since, not what was gathered then",
+TEST_CASE("a watch after a long gap returns the changes since, not those of the old session",
           "[split_feed_source]") {
   SplitHarness harness;
   harness.startSession(10);
