--- a/tests/discovery/live_configuration_test.cc
+++ b/tests/discovery/live_configuration_test.cc
@@ -15,8 +15,8 @@
 const std::vector<std::string> kServices = {"listen", "ingest", "archive"};
 const std::vector<std::string> kZones = {"lac", "ariana", "manouba"};
 
-/** What a registry is to know, kept in the plainest form. */
-struct KnownServer {
+/** Expected state of one backend in the reference model. */
+struct ExpectedBackend {
   BackendRecord record;
   Revision created = 0;
   bool retired = false;
@@ -24,8 +24,8 @@
   bool missing = false;
 };
 
-/** A registry and a plain list of what it was told, from which the whole is made for each check. */
-struct RegistryPair {
+/** A registry and a reference model, from which each check derives the expected state. */
+struct RegistryHarness {
   std::uint32_t below(std::uint32_t bound) {
     return static_cast<std::uint32_t>(random->below(bound));
   }
@@ -40,46 +40,46 @@
     record.slots = 1 + below(3);
     record.state = below(4) == 0 ? BackendState::Draining : BackendState::Ready;
     record.warmup_left_ms = below(3) == 0 ? 1500 : 0;
-    const auto known = servers.find(key);
-    const Revision created = known == servers.end() ? revision : known->second.created;
+    const auto found = expected_backends.find(key);
+    const Revision created = found == expected_backends.end() ? revision : found->second.created;
     registry.onBackend(key, record, revision, created);
-    servers[key] = {record, created, false, {}, false};
-    for (auto& [other_key, other] : servers) {
+    expected_backends[key] = {record, created, false, {}, false};
+    for (auto& [other_key, other] : expected_backends) {
       if (other.missing && other.record.address == record.address) {
         retire(other);
       }
     }
   }
 
-  void retire(KnownServer& server) const {
-    server.retired = true;
-    server.retired_at = time.elapsed;
-    server.missing = false;
+  void retire(ExpectedBackend& expected) const {
+    expected.retired = true;
+    expected.retired_at = time.elapsed;
+    expected.missing = false;
   }
 
-  void anyChange() {
+  void applyRandomChange() {
     ++revision;
     time.elapsed += milliseconds(below(4000));
     const std::uint32_t number = below(30);
     const std::string key = "endpoints/" + std::to_string(number);
-    const auto known = servers.find(key);
-    const bool is_there = known != servers.end() && !known->second.retired;
+    const auto found = expected_backends.find(key);
+    const bool is_present = found != expected_backends.end() && !found->second.retired;
     switch (below(8)) {
       case 0:
         registry.onBackendDeleted(key, revision);
-        if (is_there) {
-          retire(known->second);
+        if (is_present) {
+          retire(found->second);
         }
         break;
       case 1:
         registry.onBackendMissing(key, revision);
-        if (is_there) {
-          known->second.missing = true;
+        if (is_present) {
+          found->second.missing = true;
         }
         break;
       case 2:
         registry.retireMissing();
-        for (auto& [other_key, other] : servers) {
+        for (auto& [other_key, other] : expected_backends) {
           if (other.missing) {
             retire(other);
           }
@@ -87,7 +87,7 @@
         break;
       case 3:
         registry.pruneRetired();
-        std::erase_if(servers, [this](const auto& entry) {
+        std::erase_if(expected_backends, [this](const auto& entry) {
           return entry.second.retired && time.elapsed - entry.second.retired_at > kRetiredFor;
         });
         break;
@@ -98,72 +98,73 @@
         registry.onRoutes(routes, revision);
         break;
       case 5:
-        if (zones_out.erase(kZones[number % 3]) > 0) {
+        if (zones_out_of_service.erase(kZones[number % 3]) > 0) {
           registry.onZoneBackInService("zones/" + kZones[number % 3], revision);
         } else {
-          zones_out.insert(kZones[number % 3]);
+          zones_out_of_service.insert(kZones[number % 3]);
           registry.onZoneOutOfService("zones/" + kZones[number % 3], {kZones[number % 3]},
                                       revision);
         }
         break;
       default:
-        // Two servers in a few share the id that goes into tokens.
+        // Some backends share the id that is encoded in tokens.
         write(key, (std::uint64_t{number} << 32) + (number % 10 == 0 ? 1 + number : 5000));
     }
   }
 
-  /** @return for each id the oldest server that has it. */
-  std::map<BackendId, const KnownServer*> owners() const {
-    std::map<BackendId, const KnownServer*> owners;
-    for (const auto& [key, server] : servers) {
+  /** @return the oldest backend for each id. */
+  std::map<BackendId, const ExpectedBackend*> owners() const {
+    std::map<BackendId, const ExpectedBackend*> owners;
+    for (const auto& [key, expected] : expected_backends) {
       const auto [entry, is_first] =
-          owners.try_emplace(backendIdOfServer(server.record.server_id), &server);
-      if (!is_first && server.created < entry->second->created) {
-        entry->second = &server;
+          owners.try_emplace(backendIdOfServer(expected.record.server_id), &expected);
+      if (!is_first && expected.created < entry->second->created) {
+        entry->second = &expected;
       }
     }
     return owners;
   }
 
-  void checkBackend(const Backend& backend, const KnownServer& server) const {
-    const bool is_cold = server.record.warmup_left_ms > 0 && server.record.service == "listen" &&
-                         !routes.warmups.empty();
-    CHECK(backend.name == server.record.name);
-    CHECK(backend.address == server.record.address);
-    CHECK(backend.slots == server.record.slots);
-    CHECK(backend.retired == server.retired);
-    CHECK(backend.draining == (server.record.state == BackendState::Draining));
-    CHECK(view->service(backend.service)->name == server.record.service);
-    CHECK(view->zone(backend.zone)->name == server.record.zone);
+  void checkBackend(const Backend& backend, const ExpectedBackend& expected) const {
+    const bool is_cold = expected.record.warmup_left_ms > 0 &&
+                         expected.record.service == "listen" && !routes.warmups.empty();
+    CHECK(backend.name == expected.record.name);
+    CHECK(backend.address == expected.record.address);
+    CHECK(backend.slots == expected.record.slots);
+    CHECK(backend.retired == expected.retired);
+    CHECK(backend.draining == (expected.record.state == BackendState::Draining));
+    CHECK(view->service(backend.service)->name == expected.record.service);
+    CHECK(view->zone(backend.zone)->name == expected.record.zone);
     CHECK(backend.cold_flows_per_second ==
           (is_cold ? routes.warmups[0].flows_per_minute / 60.0 : 0));
     CHECK(view->service(backend.service)->allowsZone(backend.zone) ==
-          !zones_out.contains(server.record.zone));
+          !zones_out_of_service.contains(expected.record.zone));
   }
 
   void checkAll() const {
-    std::map<std::string, std::size_t> placeable;
-    std::map<Endpoint, std::size_t> addresses;
-    const auto owned = owners();
-    for (const auto& [id, server] : owned) {
+    std::map<std::string, std::size_t> placeable_count;
+    std::map<Endpoint, std::size_t> address_count;
+    const auto owner_by_id = owners();
+    for (const auto& [id, expected] : owner_by_id) {
       REQUIRE(view->backend(id) != nullptr);
-      checkBackend(*view->backend(id), *server);
-      placeable[server->record.service] += server->retired ? 0 : 1;
-      addresses[server->record.address] += server->retired ? 0 : 1;
+      checkBackend(*view->backend(id), *expected);
+      placeable_count[expected->record.service] += expected->retired ? 0 : 1;
+      address_count[expected->record.address] += expected->retired ? 0 : 1;
     }
-    std::size_t listed = 0;
+    std::size_t listed_count = 0;
     for (const Service& service : view->document().services) {
-      CHECK(view->backendsOf(service.id).size() == placeable[service.name]);
+      CHECK(view->backendsOf(service.id).size() == placeable_count[service.name]);
       for (const Backend* backend : view->backendsOf(service.id)) {
-        REQUIRE(owned.contains(backend->id));
+        REQUIRE(owner_by_id.contains(backend->id));
         CHECK(view->backend(backend->id) == backend);
-        ++listed;
+        ++listed_count;
       }
     }
-    CHECK(listed == placeable["listen"] + placeable["ingest"] + placeable["archive"]);
+    CHECK(listed_count ==
+          placeable_count["listen"] + placeable_count["ingest"] + placeable_count["archive"]);
     for (std::uint32_t number = 0; number < 20; ++number) {
       const Backend* at = view->backendAt(addressOf(number));
-      CHECK((at != nullptr) == (addresses[addressOf(number)] > 0));
+      CHECK((at != nullptr) == (address_count[addressOf(number)] > 0));
       CHECK((at == nullptr || at->address == addressOf(number)));
     }
     CHECK((view->routeAt(kListen) != nullptr) == !routes.routes.empty());
@@ -178,25 +179,25 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(11);
   BackendRegistry registry{kRetiredFor, time, log};
   const ConfigurationViewPtr view = registry.configuration();
-  std::map<std::string, KnownServer> servers;
-  std::set<std::string> zones_out;
+  std::map<std::string, ExpectedBackend> expected_backends;
+  std::set<std::string> zones_out_of_service;
   RouteTable routes;
   Revision revision = 0;
 };
 
-TEST_CASE("a configuration that is kept up to date is that made of all that is known",
+TEST_CASE("a configuration updated by increments equals one built from the whole state",
           "[live_configuration]") {
-  RegistryPair pair;
+  RegistryHarness harness;
   for (int step = 0; step < 3000; ++step) {
-    pair.anyChange();
-    if (pair.below(3) == 0) {
-      pair.registry.updateConfiguration();
-      pair.checkAll();
+    harness.applyRandomChange();
+    if (harness.below(3) == 0) {
+      harness.registry.updateConfiguration();
+      harness.checkAll();
     }
   }
 }
 
-TEST_CASE("a back end stays where it is while it changes, and is kept until all let go of it",
+TEST_CASE("a backend keeps its address in memory while it changes, and is returned on removal",
           "[live_configuration]") {
   LiveConfiguration configuration;
   const Backend* first = configuration.put(makeBackend(1, ServiceId(1), kLac));
@@ -213,7 +214,7 @@
   CHECK(configuration.take(BackendId(1)) == nullptr);
 }
 
-TEST_CASE("a retired back end's address is free, that of two is taken until both are gone",
+TEST_CASE("a shared address is free only once both backends are removed or retired",
           "[live_configuration]") {
   LiveConfiguration configuration;
   Backend second = makeBackend(2, ServiceId(1), kLac);
--- a/tests/discovery/old_view_deadline_test.cc
+++ b/tests/discovery/old_view_deadline_test.cc
@@ -1,17 +1,16 @@
 /**
- * Symptom: an opening was sent to a server 5,212 ms after the server's drain had been acknowledged;
- * 5,000 ms are allowed.
+ * Guards against new flows to a draining backend: a SYN was forwarded to it 5,212 ms after the
+ * drain had been acknowledged, where 5,000 ms are allowed.
  *
- * Sequence: balancers that watch the store fill their links with a large configuration, so that
- * followers get no answer from any upstream. Ten servers drain at that moment. A follower waits for
- * its polls, then for its turn to ask the store, then for the pause after a failure.
+ * Watchers saturate their links with a large configuration, so no upstream answers the followers
+ * while ten backends start to drain. A follower waits for its polls, then for its turn to probe the
+ * store, then for the delay after a failure. Each wait was bounded but their sum was not: the turn
+ * was counted from the poll that found the upstreams silent instead of from the view's age, and was
+ * evaluated between polls only.
  *
- * Cause: each wait was bounded, their sum was not: the turn was counted from the poll that found
- * the upstreams silent, not from the age of what was known, and looked at between polls only.
- *
- * What settled it: `platform_lost` (`no_answer`) with `age_ms` 3,202, then `upstream_changed` to
- * `store` with `age_ms` 6,065 and `view_age_ms` 5,825 in `flow_placed`, at the same balancer, while
- * the store answered others within milliseconds.
+ * Log events of the failure, all at one balancer while the store answered others within
+ * milliseconds: `platform_lost` (`no_answer`) with `age_ms` 3,202, `upstream_changed` to `store`
+ * with `age_ms` 6,065, `flow_placed` with `view_age_ms` 5,825.
  */
 
 #include <catch2/catch.hpp>
@@ -26,7 +25,7 @@
 
 const std::string kPrefix;
 constexpr std::uint32_t kFleet = 98;
-/** Time within which a change must be in force everywhere, and what of it is the store's answer. */
+/** Time within which a change must be in force everywhere, and the part for the store's answer. */
 constexpr Duration kInForceWithin = seconds(5);
 constexpr Duration kStoreAnswer = milliseconds(400);
 
@@ -44,41 +43,41 @@
   return balancers;
 }
 
-/** One balancer of the fleet, with all that decides when it asks the store. */
+/** One balancer of the fleet, with the components that decide when it probes the store. */
 struct Follower : ViewFollowerHost {
-  Follower(Endpoint its_address, ManualTimeSource& its_time, ManualScheduler& its_scheduler)
-      : own(its_address),
-        time(its_time),
-        scheduler(its_scheduler),
+  Follower(Endpoint own_address, ManualTimeSource& test_time, ManualScheduler& test_scheduler)
+      : own(own_address),
+        time(test_time),
+        scheduler(test_scheduler),
         directory({}, {own, 0}, {}, time, *random) {
     directory.onPeersReported(fleet());
   }
 
-  void startFrom(std::uint32_t age_ms) {
-    upstreamsTell(age_ms, true);
+  void startFromView(std::uint32_t age_ms) {
+    setUpstreamAnswers(age_ms, true);
     follower.start();
     scheduler.advance(milliseconds(10));
     REQUIRE(follower.isCaughtUp());
-    upstreamsTell(age_ms, false);
+    setUpstreamAnswers(age_ms, false);
   }
 
   void onItems(const std::vector<ItemChange>&) override {}
   void onComplete(ViewOrigin) override {}
   void onCaughtUp() override {}
   void onSourceLost(SourceError) override {}
-  void onSourceRegained(Duration) override {}
+  void onSourceRecovered(Duration) override {}
 
-  bool follows() { return !selector.upstreams().empty(); }
+  bool isFollower() { return !selector.upstreams().empty(); }
 
-  void upstreamsTell(std::uint32_t age_ms, bool whole_view) {
+  void setUpstreamAnswers(std::uint32_t age_ms, bool whole_view) {
     for (const PeerInfo& peer : fleet()) {
       peers.answersWith(peer.address, {}, 5, age_ms, whole_view);
     }
   }
-  void upstreamsFallSilent() { peers.answers.clear(); }
+  void silenceUpstreams() { peers.answers.clear(); }
 
-  /** @return age of what is known when the store is asked; none where that was not within 10 s. */
-  std::optional<Duration> ageWhenStoreIsAsked() {
+  /** @return age of the view at the store probe; none if there was no probe within 10 s. */
+  std::optional<Duration> ageAtStoreProbe() {
     constexpr Duration kStep = milliseconds(10);
     for (Duration waited{}; waited < seconds(10); waited += kStep) {
       if (store.hasWatch(kPrefix)) {
@@ -101,32 +100,32 @@
   ViewFollower follower{kPrefix, {}, source, scheduler, time, *random, *this};
 };
 
-/** @return the oldest view in the fleet, at the time when its owner asked the store. */
-Duration oldestAge(std::uint32_t told_age_ms) {
+/** @return the maximum age in the fleet of a follower's view when it probes the store. */
+Duration maxAgeAtStoreProbe(std::uint32_t upstream_age_ms) {
   ManualTimeSource time;
-  Duration oldest{};
+  Duration max_age{};
   for (const PeerInfo& peer : fleet()) {
     ManualScheduler scheduler(time);
     Follower balancer(peer.address, time, scheduler);
-    if (!balancer.follows()) {
+    if (!balancer.isFollower()) {
       continue;
     }
-    balancer.startFrom(told_age_ms);
+    balancer.startFromView(upstream_age_ms);
     scheduler.advance(seconds(4));
     REQUIRE_FALSE(balancer.store.hasWatch(kPrefix));
-    balancer.upstreamsFallSilent();
-    const auto age = balancer.ageWhenStoreIsAsked();
+    balancer.silenceUpstreams();
+    const auto age = balancer.ageAtStoreProbe();
     REQUIRE(age.has_value());
-    oldest = std::max(oldest, *age);
+    max_age = std::max(max_age, *age);
   }
-  return oldest;
+  return max_age;
 }
 
-TEST_CASE("a follower whose upstreams fall silent asks the store before its view is too old",
+TEST_CASE("a follower whose upstreams become silent probes the store before its view is too old",
           "[upstream_source]") {
-  const std::uint32_t told_age_ms = GENERATE(100, 1499);
-  CAPTURE(told_age_ms);
-  CHECK(oldestAge(told_age_ms) <= kInForceWithin - kStoreAnswer);
+  const std::uint32_t upstream_age_ms = GENERATE(100, 1499);
+  CAPTURE(upstream_age_ms);
+  CHECK(maxAgeAtStoreProbe(upstream_age_ms) <= kInForceWithin - kStoreAnswer);
 }
 
 }  // namespace
--- a/tests/discovery/view_client_test.cc
+++ b/tests/discovery/view_client_test.cc
@@ -29,15 +29,15 @@
     client.readView({peer, 1}, 0, milliseconds(120),
                     [this](const Result<PeerView, PeerRefusal>& answer) {
                       ++answers;
-                      view_came = answer.has_value();
+                      has_view = answer.has_value();
                       cause = answer ? SourceError::NotFound : answer.error().cause;
                     });
   }
 
-  /** @return the last request that was sent. */
+  /** @return the last request sent. */
   const ViewRequest& request() const { return std::get<ViewRequest>(sent.back().second); }
 
-  /** A peer sends some of the parts of a body. */
+  /** Delivers the parts [first, end) of a body from a peer. */
   void sendParts(std::uint32_t peer, const Bytes& body, std::uint64_t hash, std::uint32_t first,
                  std::uint32_t end) {
     const std::uint64_t id = request().request;
@@ -67,11 +67,12 @@
                     time,
                     *random};
   int answers = 0;
-  bool view_came = false;
+  bool has_view = false;
   SourceError cause = SourceError::NotFound;
 };
 
-TEST_CASE("what a sender left unfinished is asked of the next one", "[view_client]") {
+TEST_CASE("a transfer that a sender left incomplete is resumed from the next sender",
+          "[view_client]") {
   ClientHarness harness;
   const Bytes body = largeBody();
   REQUIRE(partCount(static_cast<std::uint32_t>(body.size())) == 5);
@@ -83,21 +84,20 @@
   CHECK(harness.sent.back().first == socketOf(3));
   CHECK(harness.request().body_hash == hashOfBody(body));
   CHECK(harness.request().first_part == 3);
-  SECTION("and completes the view") {
+  SECTION("the remaining parts complete the view") {
     harness.sendParts(3, body, hashOfBody(body), 3, 5);
     CHECK(harness.answers == 2);
-    CHECK(harness.view_came);
+    CHECK(harness.has_view);
   }
-  SECTION("or is dropped where that one has another body, even an older one") {
+  SECTION("partial data is dropped if the next sender has another body, even an older one") {
     const Bytes other = encodeViewBody({{written("other", 2)}, 5, true, {}});
     harness.sendParts(3, other, hashOfBody(other), 0, 1);
     CHECK(harness.answers == 2);
-    CHECK(harness.view_came);
+    CHECK(harness.has_view);
   }
 }
 
-TEST_CASE("a body that never fits its hash is refused, and nothing of it is kept",
-          "[view_client]") {
+TEST_CASE("a body with a wrong hash is rejected and none of its parts are kept", "[view_client]") {
   ClientHarness harness;
   const Bytes body = largeBody();
   harness.read(2);
@@ -110,7 +110,7 @@
   harness.read(3);
   CHECK(harness.request().body_hash == 0);
   harness.sendParts(3, body, hashOfBody(body), 0, 5);
-  CHECK(harness.view_came);
+  CHECK(harness.has_view);
 }
 
 }  // namespace
