--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -311,10 +311,10 @@
   }
   const BackendReport& report = observation.report;
   loads_.onReport(report);
-  if (observation.own_word) {
+  if (observation.self_announced) {
     loads_.onDrainingSeen(report.backend);
   }
-  if (!report.reachable || report.draining || observation.own_word) {
+  if (!report.reachable || report.draining || observation.self_announced) {
     placement_.invalidateCandidates();
   }
 }
--- a/src/cluster/configuration_spread.cc
+++ b/src/cluster/configuration_spread.cc
@@ -38,10 +38,10 @@
 }
 
 void ConfigurationSpread::onRequest(Endpoint from, const ConfigurationRequest& request) {
-  if (request.have >= store_.id()) {
+  if (request.current >= store_.id()) {
     return;
   }
-  if (auto delta = store_.deltaFrom(request.have)) {
+  if (auto delta = store_.deltaFrom(request.current)) {
     host_.sendConfigurationMessage(from, std::move(*delta));
     return;
   }
--- a/src/cluster/load_spread.cc
+++ b/src/cluster/load_spread.cc
@@ -13,7 +13,8 @@
 constexpr std::uint64_t kMaxSkewMilliseconds = 1000;
 
 bool isHealthy(const BackendObservation& observation) {
-  return observation.report.reachable && !observation.report.draining && !observation.own_word;
+  return observation.report.reachable && !observation.report.draining &&
+         !observation.self_announced;
 }
 
 std::uint64_t startedAt(const BackendReport& report) {
@@ -38,7 +39,7 @@
   Entry& entry = found->second;
   const BackendObservation known = entry.observation;
   const bool newer = taken.report.measured_at_ms > known.report.measured_at_ms;
-  const bool first_word = taken.own_word && !known.own_word &&
+  const bool first_word = taken.self_announced && !known.self_announced &&
                           startedAt(known.report) <= taken.report.measured_at_ms &&
                           !showsRestart(known.report, taken.report);
   if (!newer && !first_word) {
@@ -46,10 +47,10 @@
   }
   // The back end's own word stands until the back end has started again.
   const bool restarted = newer && showsRestart(taken.report, known.report);
-  taken.own_word = taken.own_word || (known.own_word && !restarted);
+  taken.self_announced = taken.self_announced || (known.self_announced && !restarted);
   if (!newer) {
     taken.report = known.report;
-    taken.own_word = true;
+    taken.self_announced = true;
   }
   const ObservationPriority priority = classify(entry, taken);
   const MonotonicTime now = time_source_.monotonicTime();
@@ -74,10 +75,10 @@
     observation.report.reachable = true;
     observation.report.measured_at_ms = nowMilliseconds();
   }
-  if (known != nullptr && known->own_word) {
+  if (known != nullptr && known->self_announced) {
     return false;
   }
-  observation.own_word = true;
+  observation.self_announced = true;
   return onObservation(observation);
 }
 
@@ -94,7 +95,7 @@
     const bool unsent = entry.transmissions < transmissionLimit(entry.priority, audience);
     entry.state_pending = entry.state_pending && unsent;
     const bool current = entry.observation.report.measured_at_ms + lifetime_ms > now_ms;
-    if (in_scope && unsent && (current || entry.observation.own_word)) {
+    if (in_scope && unsent && (current || entry.observation.self_announced)) {
       candidates.push_back(&entry);
     }
   }
@@ -146,7 +147,7 @@
   const BackendReport& after = observation.report;
   const bool state_changed =
       before.reachable != after.reachable || before.draining != after.draining ||
-      entry.observation.own_word != observation.own_word || showsRestart(after, before);
+      entry.observation.self_announced != observation.self_announced || showsRestart(after, before);
   if (state_changed) {
     return ObservationPriority::StateChange;
   }
--- a/src/discovery/evidence_collector.cc
+++ b/src/discovery/evidence_collector.cc
@@ -27,21 +27,21 @@
 
 /** @return what receivers decide by: a server goes into digests again when this changes. */
 std::tuple<int, bool, int> decisiveOf(const SummedSilence& summed) {
-  const bool has_flows = summed.seen.flows >= kFlowsThatMatter;
+  const bool has_flows = summed.silence.flows >= kFlowsThatMatter;
   return {std::min(summed.reporters, kReportersThatMatter), has_flows,
-          has_flows ? std::min(summed.seen.repetitions, kRepetitionsThatMatter) : 0};
+          has_flows ? std::min(summed.silence.retransmissions, kRepetitionsThatMatter) : 0};
 }
 
 }  // namespace
 
 std::size_t wireBytesOf(const EvidenceDigest& digest) {
   return kHeaderBytes + digest.zone.size() + digest.silent.size() * SummedSilence::kPackedBytes +
-         digest.alive.size() * ServerLife::kPackedBytes;
+         digest.alive.size() * BackendLiveness::kPackedBytes;
 }
 
 std::size_t wireBytesOf(const EvidenceReport& report) {
-  return kHeaderBytes + report.zone.size() + report.silent.size() * ServerSilence::kPackedBytes +
-         report.alive.size() * ServerLife::kPackedBytes;
+  return kHeaderBytes + report.zone.size() + report.silent.size() * BackendSilence::kPackedBytes +
+         report.alive.size() * BackendLiveness::kPackedBytes;
 }
 
 void EvidenceCollector::onReport(const EvidenceReport& report, Endpoint from) {
@@ -57,11 +57,11 @@
 
 void EvidenceCollector::take(const EvidenceReport& report, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (report.survived_repetitions >= survived_ || now - survived_at_ > kSurvivedFor) {
-    survived_ = report.survived_repetitions;
+  if (report.survived_retransmissions >= survived_ || now - survived_at_ > kSurvivedFor) {
+    survived_ = report.survived_retransmissions;
     survived_at_ = now;
   }
-  for (const ServerLife& alive : report.alive) {
+  for (const BackendLiveness& alive : report.alive) {
     noteLife(alive.backend, fromWireAge(now, alive.age_ms));
   }
   if (isAboutItself(report)) {
@@ -69,14 +69,14 @@
     leaveOut(from);
     return;
   }
-  for (const ServerSilence& silent : report.silent) {
+  for (const BackendSilence& silent : report.silent) {
     noteSilence(silent, from);
   }
 }
 
 bool EvidenceCollector::isAboutItself(const EvidenceReport& report) const {
-  return report.servers_in_use >= settings_.servers_to_judge &&
-         report.servers_silent > settings_.max_silent_share * report.servers_in_use;
+  return report.backends_in_use >= settings_.servers_to_judge &&
+         report.silent_backends > settings_.max_silent_share * report.backends_in_use;
 }
 
 void EvidenceCollector::leaveOut(Endpoint reporter) {
@@ -88,16 +88,16 @@
               {"cause", "names most servers of its own zone"}});
 }
 
-void EvidenceCollector::noteSilence(const ServerSilence& silent, Endpoint from) {
+void EvidenceCollector::noteSilence(const BackendSilence& silent, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
   const MonotonicTime attempt_at = fromWireAge(now, silent.attempt_age_ms);
   if (attempt_at == MonotonicTime() || now - attempt_at > settings_.fresh_for) {
     return;
   }
-  if (silent.life_age_ms != kNeverMilliseconds) {
-    noteLife(silent.backend, fromWireAge(now, silent.life_age_ms));
+  if (silent.liveness_age_ms != kNeverMs) {
+    noteLife(silent.backend, fromWireAge(now, silent.liveness_age_ms));
   }
-  servers_[silent.backend].by_reporter[from] = {silent.flows, silent.repetitions, attempt_at};
+  servers_[silent.backend].by_reporter[from] = {silent.flows, silent.retransmissions, attempt_at};
 }
 
 void EvidenceCollector::noteLife(BackendId backend, MonotonicTime life_at) {
@@ -125,12 +125,12 @@
 SummedSilence EvidenceCollector::sum(BackendId backend, const Server& server,
                                      MonotonicTime& attempt_at) const {
   SummedSilence summed;
-  summed.seen.backend = backend;
+  summed.silence.backend = backend;
   for (const auto& [reporter, seen] : server.by_reporter) {
     summed.reporters = std::min<std::uint8_t>(kMostCounted, summed.reporters + 1);
-    summed.seen.flows =
-        static_cast<std::uint8_t>(std::min<int>(kMostCounted, summed.seen.flows + seen.flows));
-    summed.seen.repetitions = std::max(summed.seen.repetitions, seen.repetitions);
+    summed.silence.flows =
+        static_cast<std::uint8_t>(std::min<int>(kMostCounted, summed.silence.flows + seen.flows));
+    summed.silence.retransmissions = std::max(summed.silence.retransmissions, seen.repetitions);
     attempt_at = std::max(attempt_at, seen.attempt_at);
   }
   return summed;
@@ -166,12 +166,12 @@
     return;
   }
   digest.zone = zone_;
-  digest.survived_repetitions = survived_;
+  digest.survived_retransmissions = survived_;
   const double for_servers =
       std::max(0.0, subscriber.bytes_left - static_cast<double>(wireBytesOf(digest)));
   const auto most = static_cast<std::size_t>(for_servers / SummedSilence::kPackedBytes);
   subscriber.version =
-      addNewerThan(subscriber.version, std::min(most, kMaxServersInEvidence), digest);
+      addNewerThan(subscriber.version, std::min(most, kMaxBackendsInEvidence), digest);
   if (digest.silent.empty() && digest.alive.empty() && !subscriber.owes_answer) {
     return;
   }
@@ -220,8 +220,8 @@
   }
   MonotonicTime attempt_at;
   SummedSilence summed = sum(backend, server, attempt_at);
-  summed.seen.attempt_age_ms = toWireAge(now, attempt_at);
-  summed.seen.life_age_ms = toWireAge(now, server.life_at);
+  summed.silence.attempt_age_ms = toWireAge(now, attempt_at);
+  summed.silence.liveness_age_ms = toWireAge(now, server.life_at);
   digest.silent.push_back(summed);
 }
 
--- a/src/discovery/evidence_collector.h
+++ b/src/discovery/evidence_collector.h
@@ -107,7 +107,7 @@
   bool isAboutItself(const EvidenceReport& report) const;
   /** Drops all that the reporter has named, and logs it. */
   void leaveOut(Endpoint reporter);
-  void noteSilence(const ServerSilence& silent, Endpoint from);
+  void noteSilence(const BackendSilence& silent, Endpoint from);
   void noteLife(BackendId backend, MonotonicTime life_at);
   void noteChanges();
   SummedSilence sum(BackendId backend, const Server& server, MonotonicTime& attempt_at) const;
--- a/src/discovery/view_assembly.cc
+++ b/src/discovery/view_assembly.cc
@@ -33,7 +33,7 @@
 }
 
 bool ViewAssembly::isComplete() const {
-  return hasAllParts() && hashOfBody(body_) == body_hash_;
+  return hasAllParts() && hashBody(body_) == body_hash_;
 }
 
 void ViewAssembly::fillRequest(ViewRequest& request) const {
@@ -45,7 +45,7 @@
   request.body_hash = body_hash_;
   request.first_part = first_part;
   request.parts = 0;
-  for (std::uint32_t offset = 0; offset < kPartsInRequest; ++offset) {
+  for (std::uint32_t offset = 0; offset < kMaxPartsPerRequest; ++offset) {
     const std::uint32_t part = request.first_part + offset;
     if (part < has_part_.size() && !has_part_[part]) {
       request.parts |= 1U << offset;
--- a/src/discovery/view_client.cc
+++ b/src/discovery/view_client.cc
@@ -75,14 +75,14 @@
 }
 
 void ViewClient::requestMore(const PendingView& pending, std::uint32_t last_part) {
-  const std::uint32_t window = last_part / kPartsInRequest;
-  const std::uint32_t place = last_part % kPartsInRequest;
+  const std::uint32_t window = last_part / kMaxPartsPerRequest;
+  const std::uint32_t place = last_part % kMaxPartsPerRequest;
   const bool is_last = last_part + 1 == pending.assembly.parts();
-  if (place == kPartsInRequest / 2 - 1) {
+  if (place == kMaxPartsPerRequest / 2 - 1) {
     // Half of a window is there: the next one is asked for, so that the sender never waits.
     requestMissing(pending, window + 1);
   }
-  if ((place == kPartsInRequest / 2 - 1 || is_last) && window > 0) {
+  if ((place == kMaxPartsPerRequest / 2 - 1 || is_last) && window > 0) {
     // What is still missing of the window before was lost on its way.
     requestMissing(pending, window - 1);
   }
@@ -93,7 +93,7 @@
 
 void ViewClient::requestMissing(const PendingView& pending, std::uint32_t window) {
   ViewRequest request = pending.request;
-  pending.assembly.fillRequest(request, window * kPartsInRequest);
+  pending.assembly.fillRequest(request, window * kMaxPartsPerRequest);
   if (request.parts != 0) {
     send_(pending.peer, request);
   }
@@ -111,10 +111,10 @@
     return;
   }
   ViewBody& content = body.value();
-  if (content.is_whole && on_whole_view_) {
+  if (content.is_full_view && on_whole_view_) {
     on_whole_view_(std::move(bytes), status);
   }
-  callback(PeerView{status, std::move(content.changes), content.at, content.is_whole,
+  callback(PeerView{status, std::move(content.changes), content.at, content.is_full_view,
                     std::move(content.peers)});
 }
 
@@ -132,12 +132,12 @@
     pending->renew_at = now + settings_.queued_renewal;
     return;
   }
-  if (refusal.status.serves_view && !refusal.others.empty()) {
-    referred_to_ = {refusal.others.front().address, port_};
+  if (refusal.status.serves_view && !refusal.alternatives.empty()) {
+    referred_to_ = {refusal.alternatives.front().address, port_};
   }
   const SourceError cause =
       refusal.status.serves_view ? SourceError::Throttled : SourceError::Unavailable;
-  fail(refusal.request, {cause, refusal.others});
+  fail(refusal.request, {cause, refusal.alternatives});
 }
 
 Duration ViewClient::queuedPatience(const PendingView& pending) const {
--- a/src/discovery/view_provider.cc
+++ b/src/discovery/view_provider.cc
@@ -46,7 +46,7 @@
 }
 
 void ViewProvider::onPeersRequest(const PeersRequest& request, Endpoint reply_to) {
-  send_(reply_to, PeersReply{request.request, directory_.toTell(kMaxPeersInMessage)});
+  send_(reply_to, PeersReply{request.request, directory_.toTell(kMaxPeersPerMessage)});
   directory_.onShown(request.from);
 }
 
@@ -63,7 +63,7 @@
     return;
   }
   has_adopted_ = true;
-  const std::uint64_t hash = hashOfBody(body);
+  const std::uint64_t hash = hashBody(body);
   whole_body_ = std::make_shared<WholeBody>(
       WholeBody{std::move(body), hash, status, time_source_.monotonicTime()});
   answerQueue();
@@ -179,7 +179,8 @@
   const ViewRequest& request = receiver.request;
   sendParts(request, statusOf(body), body.bytes, body.hash, receiver.reply_to);
   const bool is_same_body = request.body_hash == body.hash;
-  const std::uint64_t end = std::uint64_t{is_same_body ? request.first_part : 0} + kPartsInRequest;
+  const std::uint64_t end =
+      std::uint64_t{is_same_body ? request.first_part : 0} + kMaxPartsPerRequest;
   copies_.onAsked(receiver.reply_to,
                   end >= partCount(static_cast<std::uint32_t>(body.bytes.size())));
 }
@@ -198,7 +199,7 @@
     refer(request, reply_to, nextReferral(request.from));
     return;
   }
-  sendParts(request, status(), body, hashOfBody(body), reply_to);
+  sendParts(request, status(), body, hashBody(body), reply_to);
   if (!continues) {
     ++counters_.changes;
   }
@@ -223,12 +224,12 @@
       whole_body_ != nullptr && now - whole_body_->made_at <= settings_.body_lifetime;
   if (!is_usable) {
     const ItemView& view = owner_.view();
-    ViewBody content{{}, view.position(), true, directory_.toTell(kMaxPeersInMessage)};
+    ViewBody content{{}, view.position(), true, directory_.toTell(kMaxPeersPerMessage)};
     for (Item& item : view.page("", ItemView::kNoLimit).items) {
       content.changes.push_back({std::move(item), false});
     }
     Bytes bytes = encodeViewBody(content);
-    const std::uint64_t hash = hashOfBody(bytes);
+    const std::uint64_t hash = hashBody(bytes);
     whole_body_ =
         std::make_shared<WholeBody>(WholeBody{std::move(bytes), hash, owner_.viewStatus(), now});
   }
@@ -241,7 +242,7 @@
   const bool is_same_body = request.body_hash == hash;
   const std::uint32_t first = is_same_body ? request.first_part : 0;
   const std::uint32_t mask = is_same_body ? request.parts : kAllParts;
-  for (std::uint32_t offset = 0; offset < kPartsInRequest; ++offset) {
+  for (std::uint32_t offset = 0; offset < kMaxPartsPerRequest; ++offset) {
     const std::uint64_t part = std::uint64_t{first} + offset;
     if ((mask >> offset & 1U) == 0 || part >= partCount(body_bytes)) {
       continue;
@@ -259,7 +260,7 @@
   ++counters_.referred;
   ViewRefusal refusal{request.request, status(), false, {}};
   if (other.isSet()) {
-    refusal.others.push_back(other);
+    refusal.alternatives.push_back(other);
   }
   send_(reply_to, refusal);
 }
--- a/src/flow/evidence_reporter.cc
+++ b/src/flow/evidence_reporter.cc
@@ -36,7 +36,7 @@
     return std::nullopt;
   }
   report.zone = zone_;
-  report.survived_repetitions =
+  report.survived_retransmissions =
       static_cast<std::uint8_t>(std::min<std::size_t>(own_.survivedRepetitions(), kMostCounted));
   addUse(report);
   return report;
@@ -57,7 +57,7 @@
   const std::vector<SilenceObservation> observations = own_.observations();
   std::unordered_map<BackendId, SilenceObservation> reported;
   for (const SilenceObservation& seen : observations) {
-    const bool is_told = isNew(seen) && report.silent.size() < kMaxServersInEvidence;
+    const bool is_told = isNew(seen) && report.silent.size() < kMaxBackendsInEvidence;
     if (is_told) {
       report.silent.push_back(
           {seen.backend, static_cast<std::uint8_t>(std::min(seen.flows, kMostCounted)),
@@ -93,7 +93,7 @@
   const MonotonicTime now = time_source_.monotonicTime();
   for (const ZoneId zone : shared_.zonesInDoubt()) {
     const MonotonicTime objected_at = std::max(objected_at_[zone], shared_.objectedAt(zone));
-    const bool is_full = report.alive.size() >= kMaxServersInEvidence;
+    const bool is_full = report.alive.size() >= kMaxBackendsInEvidence;
     if (is_full || now - objected_at < settings_.objection_gap) {
       continue;
     }
@@ -121,7 +121,7 @@
 void EvidenceReporter::addLife(EvidenceReport& report, BackendId backend, MonotonicTime life_at) {
   const auto told = life_reported_.find(backend);
   const bool is_new = told == life_reported_.end() || life_at - told->second > settings_.life_gap;
-  if (is_new && report.alive.size() < kMaxServersInEvidence) {
+  if (is_new && report.alive.size() < kMaxBackendsInEvidence) {
     life_reported_[backend] = life_at;
     report.alive.push_back({backend, toWireAge(time_source_.monotonicTime(), life_at)});
   }
@@ -133,14 +133,14 @@
   for (const BackendId backend : own_.usedWithin(settings_.in_use_for)) {
     const bool is_silent = own_.isSuspect(backend);
     const bool is_near = zone_id_ && shared_.zoneOf(backend) == *zone_id_;
-    report.servers_in_use += is_near ? 1 : 0;
-    report.servers_silent += is_near && is_silent ? 1 : 0;
+    report.backends_in_use += is_near ? 1 : 0;
+    report.silent_backends += is_near && is_silent ? 1 : 0;
     ++in_use;
     silent += is_silent ? 1 : 0;
   }
-  if (report.servers_in_use == 0) {
-    report.servers_in_use = in_use;
-    report.servers_silent = silent;
+  if (report.backends_in_use == 0) {
+    report.backends_in_use = in_use;
+    report.silent_backends = silent;
   }
 }
 
--- a/src/flow/flow_router.cc
+++ b/src/flow/flow_router.cc
@@ -52,7 +52,7 @@
     ++counters_.drops_by_codec_error[static_cast<std::size_t>(decoded.error())];
     return;
   }
-  onCallerDatagram(decoded.value(), sprayed.datagram, sprayed.caller);
+  onCallerDatagram(decoded.value(), sprayed.datagram, sprayed.client);
 }
 
 void FlowRouter::onCallerDatagram(const Datagram& datagram, std::span<const std::uint8_t> bytes,
@@ -135,7 +135,7 @@
 
 void FlowRouter::relayRefusal(const BackendRefusal& refusal) {
   if (!refusal.not_run) {
-    reset(refusal.caller, refusal.key, refusal.reason);
+    reset(refusal.client, refusal.key, refusal.reason);
     return;
   }
   TokenBytes replacement;
@@ -146,7 +146,7 @@
     replacement = placeAgain(refusal, *service);
   }
   ++counters_.refusals_by_reason[static_cast<std::size_t>(refusal.reason)];
-  sender_.sendDatagram(refusal.caller, Refused{refusal.key, refusal.reason, refusal.retry_after_ms,
+  sender_.sendDatagram(refusal.client, Refused{refusal.key, refusal.reason, refusal.retry_after_ms,
                                                std::move(replacement), RefusalScope::Attempt});
 }
 
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -20,14 +20,14 @@
 
 std::uint16_t toWireAge(MonotonicTime now, MonotonicTime time) {
   if (time == MonotonicTime()) {
-    return kNeverMilliseconds;
+    return kNeverMs;
   }
   const std::int64_t age_ms = std::max<std::int64_t>(0, toMilliseconds(now - time));
-  return static_cast<std::uint16_t>(std::min<std::int64_t>(age_ms, kNeverMilliseconds - 1));
+  return static_cast<std::uint16_t>(std::min<std::int64_t>(age_ms, kNeverMs - 1));
 }
 
 MonotonicTime fromWireAge(MonotonicTime now, std::uint16_t age_ms) {
-  return age_ms == kNeverMilliseconds ? MonotonicTime() : now - milliseconds(age_ms);
+  return age_ms == kNeverMs ? MonotonicTime() : now - milliseconds(age_ms);
 }
 
 void SharedEvidence::onConfigurationChanged(const ConfigurationChanges& changes,
@@ -67,16 +67,16 @@
 
 void SharedEvidence::onDigest(const EvidenceDigest& digest) {
   const MonotonicTime now = time_source_.monotonicTime();
-  for (const ServerLife& alive : digest.alive) {
+  for (const BackendLiveness& alive : digest.alive) {
     noteLife(alive.backend, fromWireAge(now, alive.age_ms));
     if (const auto zone = zoneOf(alive.backend)) {
       objections_[*zone] = std::max(objections_[*zone], fromWireAge(now, alive.age_ms));
     }
   }
   for (const SummedSilence& summed : digest.silent) {
-    const ServerSilence& seen = summed.seen;
-    if (seen.life_age_ms != kNeverMilliseconds) {
-      noteLife(seen.backend, fromWireAge(now, seen.life_age_ms));
+    const BackendSilence& seen = summed.silence;
+    if (seen.liveness_age_ms != kNeverMs) {
+      noteLife(seen.backend, fromWireAge(now, seen.liveness_age_ms));
     }
     const auto [entry, is_new] = told_.try_emplace(seen.backend);
     ToldSilence& told = entry->second;
@@ -87,13 +87,13 @@
     // Digests may come from several balancers; the one with the most reports counts.
     told.reporters = std::max<std::size_t>(told.reporters, summed.reporters);
     told.flows = std::max<std::size_t>(told.flows, seen.flows);
-    told.repetitions = std::max<std::uint16_t>(told.repetitions, seen.repetitions);
+    told.repetitions = std::max<std::uint16_t>(told.repetitions, seen.retransmissions);
     told.attempt_at = std::max(told.attempt_at, fromWireAge(now, seen.attempt_age_ms));
   }
   const bool is_forgotten = now - told_survived_at_ > kSurvivedMemory;
-  const bool is_more = digest.survived_repetitions >= told_survived_ || is_forgotten;
-  if (digest.survived_repetitions > 0 && is_more) {
-    told_survived_ = digest.survived_repetitions;
+  const bool is_more = digest.survived_retransmissions >= told_survived_ || is_forgotten;
+  if (digest.survived_retransmissions > 0 && is_more) {
+    told_survived_ = digest.survived_retransmissions;
     told_survived_at_ = now;
   }
   refresh();
--- a/src/programs/standin_backend.cc
+++ b/src/programs/standin_backend.cc
@@ -36,9 +36,9 @@
       return;
     }
     if (const auto* data = std::get_if<Data>(&inner.value())) {
-      add(data->key, forward->caller, balancer);
+      add(data->key, forward->client, balancer);
     } else if (const auto* ack = std::get_if<AnswerAck>(&inner.value())) {
-      add(ack->key, forward->caller, balancer);
+      add(ack->key, forward->client, balancer);
     }
   }
 
--- a/src/sim/backend_model.cc
+++ b/src/sim/backend_model.cc
@@ -48,19 +48,19 @@
 
 void BackendModel::onData(const Data& data, const Forward& forward, Endpoint balancer) {
   if (forward.backend != settings_.id || forward.service != settings_.service) {
-    sendRefusal(balancer, forward.caller, data.key, Reason::WrongBackend, false);
+    sendRefusal(balancer, forward.client, data.key, Reason::WrongBackend, false);
     return;
   }
   auto found = flows_.find(data.key);
   if (found == flows_.end()) {
     if (mayHaveRunBeforeRestart(data) || mayHaveBeenForgotten(data)) {
-      sendRefusal(balancer, forward.caller, data.key, Reason::BackendGone, false);
+      sendRefusal(balancer, forward.client, data.key, Reason::BackendGone, false);
       return;
     }
     const Reason blocked_by = admissionBlockedBy(data, forward);
     if (blocked_by != Reason::None) {
       rememberRefusal(data.key, blocked_by);
-      sendRefusal(balancer, forward.caller, data.key, blocked_by, true);
+      sendRefusal(balancer, forward.client, data.key, blocked_by, true);
       return;
     }
     admit(data, forward);
@@ -68,10 +68,10 @@
   }
   Flow& flow = found->second;
   if (flow.state == FlowState::Refused) {
-    sendRefusal(balancer, forward.caller, data.key, flow.refusal, true);
+    sendRefusal(balancer, forward.client, data.key, flow.refusal, true);
     return;
   }
-  flow.caller = forward.caller;
+  flow.caller = forward.client;
   flow.balancer = balancer;
   flow.last_heard_at = time_source_.monotonicTime();
   if (flow.state == FlowState::Receiving) {
@@ -87,15 +87,15 @@
 void BackendModel::onAnswerAck(const AnswerAck& ack, const Forward& forward, Endpoint balancer) {
   const auto found = flows_.find(ack.key);
   if (found == flows_.end()) {
-    sendRefusal(balancer, forward.caller, ack.key, Reason::BackendGone, false);
+    sendRefusal(balancer, forward.client, ack.key, Reason::BackendGone, false);
     return;
   }
   Flow& flow = found->second;
   if (flow.state == FlowState::Refused) {
-    sendRefusal(balancer, forward.caller, ack.key, flow.refusal, true);
+    sendRefusal(balancer, forward.client, ack.key, flow.refusal, true);
     return;
   }
-  flow.caller = forward.caller;
+  flow.caller = forward.client;
   flow.balancer = balancer;
   flow.last_heard_at = time_source_.monotonicTime();
   flow.answers_confirmed = std::max(flow.answers_confirmed, ack.next_expected);
@@ -113,7 +113,7 @@
     return;
   }
   Flow& flow = found->second;
-  flow.caller = forward.caller;
+  flow.caller = forward.client;
   flow.balancer = balancer;
   if (flow.state == FlowState::Receiving || flow.state == FlowState::Queued) {
     refuseAdmitted(cancel.key, flow, Reason::Cancelled);
@@ -154,7 +154,7 @@
 BackendModel::Flow& BackendModel::admit(const Data& data, const Forward& forward) {
   Flow& flow = flows_[data.key];
   ++open_flows_;
-  flow.caller = forward.caller;
+  flow.caller = forward.client;
   flow.record.key = data.key;
   flow.record.placed_at = tokenPlacementTime(data.token);
   flow.record.admitted_at = time_source_.systemTime();
--- a/src/sim/baseline_router.cc
+++ b/src/sim/baseline_router.cc
@@ -36,7 +36,7 @@
       return;
     }
     if (const auto* sprayed = std::get_if<Sprayed>(&decoded.value())) {
-      onCallerDatagram(sprayed->datagram, sprayed->caller);
+      onCallerDatagram(sprayed->datagram, sprayed->client);
     } else if (const auto* refusal = std::get_if<BackendRefusal>(&decoded.value())) {
       onBackendRefusal(*refusal);
     }
@@ -96,10 +96,10 @@
   void onBackendRefusal(const BackendRefusal& refusal) {
     if (refusal.not_run) {
       sender_.sendDatagram(
-          refusal.caller,
+          refusal.client,
           Refused{refusal.key, refusal.reason, refusal.retry_after_ms, {}, RefusalScope::Attempt});
     } else {
-      sender_.sendDatagram(refusal.caller,
+      sender_.sendDatagram(refusal.client,
                            Reset{refusal.key, refusal.reason, refusal.retry_after_ms});
     }
   }
--- a/src/wire/datagram.h
+++ b/src/wire/datagram.h
@@ -144,24 +144,24 @@
 
 /** Caller's datagram on its way through the fabric to a balancer. */
 struct Sprayed {
-  Endpoint caller;
+  Endpoint client;
   Bytes datagram;
-  auto fields() { return std::tie(caller, datagram); }
+  auto fields() { return std::tie(client, datagram); }
 };
 
 /** Caller's datagram on its way from a balancer to the back end. */
 struct Forward {
-  Endpoint caller;
+  Endpoint client;
   BackendId backend;
   ServiceId service;
   ForwardMode mode = ForwardMode::MayStart;
   Bytes datagram;
-  auto fields() { return std::tie(caller, backend, service, mode, datagram); }
+  auto fields() { return std::tie(client, backend, service, mode, datagram); }
 };
 
 /** Back end tells the forwarding balancer that the attempt was not run, or is not known to it. */
 struct BackendRefusal {
-  Endpoint caller;
+  Endpoint client;
   FlowKey key;
   ServiceId service;
   BackendId backend;
@@ -169,7 +169,7 @@
   /** True where the attempt certainly did not and will not run here. */
   bool not_run = false;
   std::uint32_t retry_after_ms = 0;
-  auto fields() { return std::tie(caller, key, service, backend, reason, not_run, retry_after_ms); }
+  auto fields() { return std::tie(client, key, service, backend, reason, not_run, retry_after_ms); }
 };
 
 using Datagram = std::variant<Open, Placed, Data, AnswerAck, Cancel, DataAck, Answer, Refused,
--- a/src/wire/evidence_messages.cc
+++ b/src/wire/evidence_messages.cc
@@ -29,47 +29,47 @@
 
 std::uint8_t packAge(std::uint16_t age_ms, std::uint16_t step) {
   const int steps = std::min<int>(age_ms / step, kNever - 1);
-  return age_ms == kNeverMilliseconds ? kNever : static_cast<std::uint8_t>(steps);
+  return age_ms == kNeverMs ? kNever : static_cast<std::uint8_t>(steps);
 }
 
 std::uint16_t unpackAge(std::uint8_t steps, std::uint16_t step) {
-  return steps == kNever ? kNeverMilliseconds : static_cast<std::uint16_t>(steps * step);
+  return steps == kNever ? kNeverMs : static_cast<std::uint16_t>(steps * step);
 }
 
 }  // namespace
 
-void ServerSilence::packTo(Bytes& out) const {
+void BackendSilence::packTo(Bytes& out) const {
   packId(backend, out);
   const int counts =
-      (std::min(flows, kMostInHalfByte) << 4) | std::min(repetitions, kMostInHalfByte);
+      (std::min(flows, kMostInHalfByte) << 4) | std::min(retransmissions, kMostInHalfByte);
   out.push_back(static_cast<std::uint8_t>(counts));
   out.push_back(packAge(attempt_age_ms, kAgeStep));
-  out.push_back(packAge(life_age_ms, kLifeAgeStep));
+  out.push_back(packAge(liveness_age_ms, kLifeAgeStep));
 }
 
-ServerSilence ServerSilence::unpack(const std::uint8_t* bytes) {
+BackendSilence BackendSilence::unpack(const std::uint8_t* bytes) {
   const std::uint8_t counts = bytes[kIdBytes];
   return {unpackId(bytes), static_cast<std::uint8_t>(counts >> 4),
           static_cast<std::uint8_t>(counts & kMostInHalfByte),
           unpackAge(bytes[kIdBytes + 1], kAgeStep), unpackAge(bytes[kIdBytes + 2], kLifeAgeStep)};
 }
 
-void ServerLife::packTo(Bytes& out) const {
+void BackendLiveness::packTo(Bytes& out) const {
   packId(backend, out);
   out.push_back(packAge(age_ms, kAgeStep));
 }
 
-ServerLife ServerLife::unpack(const std::uint8_t* bytes) {
+BackendLiveness BackendLiveness::unpack(const std::uint8_t* bytes) {
   return {unpackId(bytes), unpackAge(bytes[kIdBytes], kAgeStep)};
 }
 
 void SummedSilence::packTo(Bytes& out) const {
   out.push_back(reporters);
-  seen.packTo(out);
+  silence.packTo(out);
 }
 
 SummedSilence SummedSilence::unpack(const std::uint8_t* bytes) {
-  return {bytes[0], ServerSilence::unpack(bytes + 1)};
+  return {bytes[0], BackendSilence::unpack(bytes + 1)};
 }
 
 }  // namespace lugfork
--- a/src/wire/evidence_messages.h
+++ b/src/wire/evidence_messages.h
@@ -11,40 +11,40 @@
 namespace lugfork {
 
 /** Age of something that never was [ms]. */
-inline constexpr std::uint16_t kNeverMilliseconds = 0xffff;
+inline constexpr std::uint16_t kNeverMs = 0xffff;
 /**
  * Servers in one digest at most, which stays under half a kilobyte with its headers. In a report
  * the bound holds for the silent servers, and for signs of life of single servers.
  */
-inline constexpr std::size_t kMaxServersInEvidence = 48;
+inline constexpr std::size_t kMaxBackendsInEvidence = 48;
 
 /** What one balancer has seen of a server that does not answer it. */
-struct ServerSilence {
+struct BackendSilence {
   BackendId backend;
   /** Flows that went unanswered since its last sign of life. */
   std::uint8_t flows = 0;
   /** Most repetitions of one of them. */
-  std::uint8_t repetitions = 0;
+  std::uint8_t retransmissions = 0;
   /** Age of the last unanswered attempt [ms]. */
   std::uint16_t attempt_age_ms = 0;
   /** Age of the last sign of life [ms]. */
-  std::uint16_t life_age_ms = kNeverMilliseconds;
+  std::uint16_t liveness_age_ms = kNeverMs;
   /** Counts above 15 and ages above 2.5 s (attempt) and 5 s (life) are sent as these limits. */
   static constexpr std::uint32_t kPackedBytes = 7;
   void packTo(Bytes& out) const;
-  static ServerSilence unpack(const std::uint8_t* bytes);
-  bool operator==(const ServerSilence&) const = default;
+  static BackendSilence unpack(const std::uint8_t* bytes);
+  bool operator==(const BackendSilence&) const = default;
 };
 
 /** A server that answers. */
-struct ServerLife {
+struct BackendLiveness {
   BackendId backend;
   /** Age of the sign of life [ms]. */
   std::uint16_t age_ms = 0;
   static constexpr std::uint32_t kPackedBytes = 5;
   void packTo(Bytes& out) const;
-  static ServerLife unpack(const std::uint8_t* bytes);
-  bool operator==(const ServerLife&) const = default;
+  static BackendLiveness unpack(const std::uint8_t* bytes);
+  bool operator==(const BackendLiveness&) const = default;
 };
 
 /** One balancer's observations, sent to the balancer that sums for its zone. */
@@ -52,14 +52,15 @@
   /** Zone of who reports: its observations hold for that zone only. */
   std::string zone;
   /** Servers near the reporter that it has used lately, and how many of these do not answer it. */
-  std::uint16_t servers_in_use = 0;
-  std::uint16_t servers_silent = 0;
+  std::uint16_t backends_in_use = 0;
+  std::uint16_t silent_backends = 0;
   /** Most repetitions after which a server still answered lately. */
-  std::uint8_t survived_repetitions = 0;
-  std::vector<ServerSilence> silent;
-  std::vector<ServerLife> alive;
+  std::uint8_t survived_retransmissions = 0;
+  std::vector<BackendSilence> silent;
+  std::vector<BackendLiveness> alive;
   auto fields() {
-    return std::tie(zone, servers_in_use, servers_silent, survived_repetitions, silent, alive);
+    return std::tie(zone, backends_in_use, silent_backends, survived_retransmissions, silent,
+                    alive);
   }
 };
 
@@ -68,8 +69,8 @@
   /** Different balancers that got no answer. */
   std::uint8_t reporters = 0;
   /** Flows and last attempt over all, most repetitions, last sign of life to any. */
-  ServerSilence seen;
-  static constexpr std::uint32_t kPackedBytes = 1 + ServerSilence::kPackedBytes;
+  BackendSilence silence;
+  static constexpr std::uint32_t kPackedBytes = 1 + BackendSilence::kPackedBytes;
   void packTo(Bytes& out) const;
   static SummedSilence unpack(const std::uint8_t* bytes);
   bool operator==(const SummedSilence&) const = default;
@@ -79,10 +80,10 @@
 struct EvidenceDigest {
   /** Zone of the sender; a receiver in another zone stops reporting to it. */
   std::string zone;
-  std::uint8_t survived_repetitions = 0;
+  std::uint8_t survived_retransmissions = 0;
   std::vector<SummedSilence> silent;
-  std::vector<ServerLife> alive;
-  auto fields() { return std::tie(zone, survived_repetitions, silent, alive); }
+  std::vector<BackendLiveness> alive;
+  auto fields() { return std::tie(zone, survived_retransmissions, silent, alive); }
 };
 
 }  // namespace lugfork
--- a/src/wire/message_codec.h
+++ b/src/wire/message_codec.h
@@ -101,7 +101,7 @@
 
 /** @return the fewest fields with which a struct may come. */
 template <typename T>
-constexpr std::size_t fewestFields(std::size_t all) {
+constexpr std::size_t minFieldCount(std::size_t all) {
   if constexpr (HasOptionalFields<T>) {
     return T::kFieldsAlwaysThere;
   }
@@ -121,8 +121,8 @@
 bool unpackStruct(const msgpack::object_array& array, std::size_t offset, T& value) {
   auto fields = value.fields();
   constexpr std::size_t kFieldCount = std::tuple_size_v<decltype(fields)>;
-  constexpr std::size_t kFewest = fewestFields<T>(kFieldCount);
-  if (array.size < offset + kFewest || array.size > offset + kFieldCount) {
+  constexpr std::size_t kMinFieldCount = minFieldCount<T>(kFieldCount);
+  if (array.size < offset + kMinFieldCount || array.size > offset + kFieldCount) {
     return false;
   }
   return unpackFields(array, offset, fields, std::make_index_sequence<kFieldCount>{});
@@ -140,7 +140,7 @@
 
 /** Reads elements that were packed one behind the other. */
 template <HasPackedForm T>
-bool unpackPacked(const msgpack::object& object, std::vector<T>& values) {
+bool unpackPackedVector(const msgpack::object& object, std::vector<T>& values) {
   if (object.type != msgpack::type::BIN || object.via.bin.size % T::kPackedBytes != 0) {
     return false;
   }
@@ -211,7 +211,7 @@
     std::copy_n(object.via.bin.ptr, value.size(), value.begin());
     return true;
   } else if constexpr (IsPackedVector<T>::value) {
-    return unpackPacked(object, value);
+    return unpackPackedVector(object, value);
   } else if constexpr (IsVector<T>::value) {
     return unpackVector(object, value);
   } else {
--- a/src/wire/peer_message.h
+++ b/src/wire/peer_message.h
@@ -42,8 +42,8 @@
 /** A back end's report, and whether the back end itself announced on the data path to drain. */
 struct BackendObservation {
   BackendReport report;
-  bool own_word = false;
-  auto fields() { return std::tie(report, own_word); }
+  bool self_announced = false;
+  auto fields() { return std::tie(report, self_announced); }
   bool operator==(const BackendObservation&) const = default;
 };
 
@@ -146,8 +146,8 @@
 
 /** Asks for what leads from the sender's configuration to the peer's. */
 struct ConfigurationRequest {
-  ConfigurationId have;
-  auto fields() { return std::tie(have); }
+  ConfigurationId current;
+  auto fields() { return std::tie(current); }
 };
 
 /** Resources that differ between two configurations. */
--- a/src/wire/record_codec.cc
+++ b/src/wire/record_codec.cc
@@ -51,11 +51,11 @@
   const Bytes body = message_codec::encodeVariant(toCompact(record));
   std::string text(1, kPlainForm);
   text.append(body.begin(), body.end());
-  putStart(startOf(record), text);
+  insertStartTime(startOf(record), text);
   return text;
 }
 
-std::uint64_t takeStart(std::string& value) {
+std::uint64_t extractStartTime(std::string& value) {
   if (value.size() <= kStartBytes || value.front() != kFormWithStart) {
     return 0;
   }
@@ -65,7 +65,7 @@
   return started_ms;
 }
 
-void putStart(std::uint64_t started_ms, std::string& value) {
+void insertStartTime(std::uint64_t started_ms, std::string& value) {
   if (started_ms == 0 || value.empty() || value.front() != kPlainForm) {
     return;
   }
--- a/src/wire/record_codec.h
+++ b/src/wire/record_codec.h
@@ -17,10 +17,10 @@
  * balancers without knowledge of starts read.
  * @return the time [Unix ms]; 0 where the record holds none.
  */
-std::uint64_t takeStart(std::string& value);
+std::uint64_t extractStartTime(std::string& value);
 
-/** Puts a start [Unix ms] that takeStart gave back into the record; 0 changes nothing. */
-void putStart(std::uint64_t started_ms, std::string& value);
+/** Puts a start [Unix ms] that extractStartTime gave back into the record; 0 changes nothing. */
+void insertStartTime(std::uint64_t started_ms, std::string& value);
 
 /** Reads what encodeRecord wrote; a server's name is the end of its key. */
 class CompactRecordDecoder : public RecordDecoder {
--- a/src/wire/view_transfer_codec.cc
+++ b/src/wire/view_transfer_codec.cc
@@ -46,9 +46,9 @@
 struct PackedBody {
   std::vector<PackedChange> changes;
   Revision at = 0;
-  bool is_whole = false;
+  bool is_full_view = false;
   std::vector<KnownPeer> peers;
-  auto fields() { return std::tie(changes, at, is_whole, peers); }
+  auto fields() { return std::tie(changes, at, is_full_view, peers); }
 };
 
 /**
@@ -113,14 +113,14 @@
 
 /** @return the body as msgpack, and behind it the starts of its servers where any is known. */
 Bytes pack(const ViewBody& body) {
-  PackedBody packed{{}, body.at, body.is_whole, body.peers};
+  PackedBody packed{{}, body.at, body.is_full_view, body.peers};
   packed.changes.reserve(body.changes.size());
   std::vector<std::uint64_t> starts;
   starts.reserve(body.changes.size());
   for (const ItemChange& change : body.changes) {
     const Item& item = change.item;
     packed.changes.push_back({item.key, {item.value}, item.revision, item.created, change.deleted});
-    starts.push_back(takeStart(packed.changes.back().value.text));
+    starts.push_back(extractStartTime(packed.changes.back().value.text));
   }
   Bytes bytes = message_codec::encodeStruct(packed);
   const PackedStarts packed_starts = packStarts(starts);
@@ -132,11 +132,11 @@
 }
 
 ViewBody unpack(PackedBody packed, const std::vector<std::uint64_t>& starts) {
-  ViewBody body{{}, packed.at, packed.is_whole, std::move(packed.peers)};
+  ViewBody body{{}, packed.at, packed.is_full_view, std::move(packed.peers)};
   body.changes.reserve(packed.changes.size());
   for (std::size_t index = 0; index < packed.changes.size(); ++index) {
     PackedChange& change = packed.changes[index];
-    putStart(starts.empty() ? 0 : starts[index], change.value.text);
+    insertStartTime(starts.empty() ? 0 : starts[index], change.value.text);
     body.changes.push_back(
         {{std::move(change.key), std::move(change.value.text), change.revision, change.created},
          change.deleted});
@@ -232,7 +232,7 @@
   return unpack(std::move(body), unpackStarts(starts, count));
 }
 
-std::uint64_t hashOfBody(const Bytes& body) {
+std::uint64_t hashBody(const Bytes& body) {
   return std::max<std::uint64_t>(1, XXH3_64bits(body.data(), body.size()));
 }
 
--- a/src/wire/view_transfer_codec.h
+++ b/src/wire/view_transfer_codec.h
@@ -24,12 +24,12 @@
 /** Bytes of a body in one part, so that no link has to cut a datagram. */
 inline constexpr std::uint32_t kPartBytes = 1200;
 /** Parts that one request can ask for: the bits of its mask. */
-inline constexpr std::uint32_t kPartsInRequest = 32;
+inline constexpr std::uint32_t kMaxPartsPerRequest = 32;
 inline constexpr std::uint32_t kAllParts = 0xffffffff;
 /** Largest compressed body: 14,000 servers take a fifth of it. */
 inline constexpr std::uint32_t kMaxBodyBytes = 4 * 1024 * 1024;
 /** Balancers in one list, so that the list fits a datagram. */
-inline constexpr std::size_t kMaxPeersInMessage = 100;
+inline constexpr std::size_t kMaxPeersPerMessage = 100;
 
 /** Asks for parts of what a view holds beyond a revision. */
 struct ViewRequest {
@@ -68,8 +68,8 @@
   /** The request is kept and answered as soon as there is a view; no other answer comes now. */
   bool is_queued = false;
   /** Balancers that may be asked instead. */
-  std::vector<Endpoint> others;
-  auto fields() { return std::tie(request, status, is_queued, others); }
+  std::vector<Endpoint> alternatives;
+  auto fields() { return std::tie(request, status, is_queued, alternatives); }
 };
 
 /** Shows who asks, and asks which balancers are known. */
@@ -92,7 +92,7 @@
 struct ViewBody {
   std::vector<ItemChange> changes;
   Revision at = 0;
-  bool is_whole = false;
+  bool is_full_view = false;
   std::vector<KnownPeer> peers;
 };
 
@@ -111,7 +111,7 @@
 Result<ViewBody, CodecError> decodeViewBody(const Bytes& bytes);
 
 /** @return the hash by which a compressed body is known; never 0. */
-std::uint64_t hashOfBody(const Bytes& body);
+std::uint64_t hashBody(const Bytes& body);
 
 /** @return the number of parts of a compressed body. */
 constexpr std::uint32_t partCount(std::uint32_t body_bytes) {
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -323,7 +323,7 @@
   PacketNodeHarness harness(settings);
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server"), item("backends/c", 5, "server")});
-  const ServerSilence silent{backendIdOfServer('a'), 1, 0, 50, kNeverMilliseconds};
+  const BackendSilence silent{backendIdOfServer('a'), 1, 0, 50, kNeverMs};
   harness.node.sharedEvidence().onDigest({"lac", 0, {{2, silent}}, {}});
   for (std::uint16_t port = 1; port <= 60; ++port) {
     harness.open(port);
--- a/tests/cluster/load_spread_test.cc
+++ b/tests/cluster/load_spread_test.cc
@@ -60,12 +60,12 @@
   clock.now += seconds(1);
   // The load endpoint lags and still says that nothing is draining.
   spread.onObservation(observationOf(1, 1001000, 100));
-  CHECK(spread.find(BackendId(1))->own_word);
+  CHECK(spread.find(BackendId(1))->self_announced);
   clock.now += seconds(10);
   BackendObservation restarted = observationOf(1, 1011000, 0);
   restarted.report.uptime_ms = 100;
   spread.onObservation(restarted);
-  CHECK_FALSE(spread.find(BackendId(1))->own_word);
+  CHECK_FALSE(spread.find(BackendId(1))->self_announced);
 }
 
 TEST_CASE("an older report and a repeated one are no news") {
--- a/tests/discovery/evidence_collector_test.cc
+++ b/tests/discovery/evidence_collector_test.cc
@@ -17,7 +17,7 @@
                         std::uint16_t attempt_age_ms = 50) {
   EvidenceReport report{"lac", 10, 1, 0, {}, {}};
   for (const std::uint32_t server : servers) {
-    report.silent.push_back({BackendId(server), 1, 0, attempt_age_ms, kNeverMilliseconds});
+    report.silent.push_back({BackendId(server), 1, 0, attempt_age_ms, kNeverMs});
   }
   return report;
 }
@@ -49,17 +49,17 @@
   harness.collector.onReport(reportOf({5}), kFirst);
   EvidenceReport later = reportOf({5}, 10);
   later.silent[0].flows = 3;
-  later.silent[0].repetitions = 2;
-  later.silent[0].life_age_ms = 700;
-  later.survived_repetitions = 4;
+  later.silent[0].retransmissions = 2;
+  later.silent[0].liveness_age_ms = 700;
+  later.survived_retransmissions = 4;
   harness.collector.onReport(later, kSecond);
   const auto digest = harness.told(kFirst);
   REQUIRE(digest);
   CHECK(digest->zone == "lac");
-  CHECK(digest->survived_repetitions == 4);
+  CHECK(digest->survived_retransmissions == 4);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 2);
-  CHECK(digest->silent[0].seen == ServerSilence{BackendId(5), 4, 2, 210, 900});
+  CHECK(digest->silent[0].silence == BackendSilence{BackendId(5), 4, 2, 210, 900});
 }
 
 TEST_CASE("a reporter counts once, however often it reports", "[evidence_collector]") {
@@ -75,16 +75,16 @@
   harness.collector.onReport(reportOf({5, 6}), kFirst);
   harness.collector.onReport(reportOf({5}), kSecond);
   EvidenceReport overloaded = reportOf({5, 6, 7, 8, 9, 10});
-  overloaded.servers_silent = 6;
+  overloaded.silent_backends = 6;
   harness.collector.onReport(overloaded, kFirst);
   CHECK(harness.collector.counters().reports_left_out == 1);
   const auto digest = harness.told(kFirst);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 1);
-  CHECK(digest->silent[0].seen.backend == BackendId(5));
+  CHECK(digest->silent[0].silence.backend == BackendId(5));
   // What answers it counts all the same.
   EvidenceReport answered = lifeOf(5, 0);
-  answered.servers_silent = 6;
+  answered.silent_backends = 6;
   harness.collector.onReport(answered, kFirst);
   CHECK(harness.told(kSecond)->silent.empty());
 }
@@ -98,7 +98,7 @@
   const auto digest = harness.told(kFirst);
   REQUIRE(digest);
   CHECK(digest->silent.empty());
-  CHECK(digest->alive == std::vector<ServerLife>{{BackendId(5), 230}});
+  CHECK(digest->alive == std::vector<BackendLiveness>{{BackendId(5), 230}});
   CHECK_FALSE(harness.told(kFirst));
 }
 
@@ -118,7 +118,7 @@
   CHECK(harness.told(kFirst)->silent.size() == 1);
   CHECK_FALSE(harness.told(kFirst));
   harness.collector.onReport(reportOf({6}), kSecond);
-  CHECK(harness.told(kFirst)->silent.at(0).seen.backend == BackendId(6));
+  CHECK(harness.told(kFirst)->silent.at(0).silence.backend == BackendId(6));
   CHECK(harness.told(kSecond) == std::nullopt);
   harness.collector.onReport({"lac", 10, 0, 0, {}, {}}, kFirst);
   CHECK(harness.told(kFirst)->silent.empty());
@@ -137,23 +137,23 @@
   std::set<BackendId> named;
   for (std::uint32_t from = 0; from < 4; ++from) {
     std::vector<std::uint32_t> servers;
-    for (std::uint32_t server = 1; server <= kMaxServersInEvidence; ++server) {
+    for (std::uint32_t server = 1; server <= kMaxBackendsInEvidence; ++server) {
       servers.push_back(100 * from + server);
     }
     harness.collector.onReport(reportOf(servers), {10 + from, 1});
   }
   for (int round = 0; round < 15; ++round) {
     if (const auto digest = harness.told({10, 1})) {
-      CHECK(digest->silent.size() <= kMaxServersInEvidence);
+      CHECK(digest->silent.size() <= kMaxBackendsInEvidence);
       for (const SummedSilence& summed : digest->silent) {
-        named.insert(summed.seen.backend);
+        named.insert(summed.silence.backend);
       }
     }
     for (std::uint32_t from = 1; from < 4; ++from) {
       harness.collector.onReport(reportOf({100 * from + 1}), {10 + from, 1});
     }
   }
-  CHECK(named.size() > kMaxServersInEvidence);
+  CHECK(named.size() > kMaxBackendsInEvidence);
 }
 
 TEST_CASE("nobody is told for longer than it reports", "[evidence_collector]") {
--- a/tests/discovery/view_assembly_test.cc
+++ b/tests/discovery/view_assembly_test.cc
@@ -18,7 +18,7 @@
   const std::size_t end = std::min(body.size(), begin + kPartBytes);
   return {1,
           {position, 0, true},
-          hashOfBody(body),
+          hashBody(body),
           static_cast<std::uint32_t>(body.size()),
           part,
           Bytes(body.begin() + static_cast<long>(begin), body.begin() + static_cast<long>(end))};
@@ -35,7 +35,7 @@
   }
   ViewRequest request;
   assembly.fillRequest(request);
-  CHECK(request.body_hash == hashOfBody(body));
+  CHECK(request.body_hash == hashBody(body));
   CHECK(request.first_part == 2);
   CHECK(request.parts == 1);
   CHECK(assembly.onPart(partOf(body, 2)));
--- a/tests/discovery/view_client_test.cc
+++ b/tests/discovery/view_client_test.cc
@@ -76,21 +76,21 @@
   const Bytes body = largeBody();
   REQUIRE(partCount(static_cast<std::uint32_t>(body.size())) == 5);
   harness.read(2);
-  harness.sendParts(2, body, hashOfBody(body), 0, 3);
+  harness.sendParts(2, body, hashBody(body), 0, 3);
   harness.scheduler.advance(milliseconds(400));
   REQUIRE(harness.answers == 1);
   harness.read(3);
   CHECK(harness.sent.back().first == socketOf(3));
-  CHECK(harness.request().body_hash == hashOfBody(body));
+  CHECK(harness.request().body_hash == hashBody(body));
   CHECK(harness.request().first_part == 3);
   SECTION("and completes the view") {
-    harness.sendParts(3, body, hashOfBody(body), 3, 5);
+    harness.sendParts(3, body, hashBody(body), 3, 5);
     CHECK(harness.answers == 2);
     CHECK(harness.view_came);
   }
   SECTION("or is dropped where that one has another body, even an older one") {
     const Bytes other = encodeViewBody({{written("other", 2)}, 5, true, {}});
-    harness.sendParts(3, other, hashOfBody(other), 0, 1);
+    harness.sendParts(3, other, hashBody(other), 0, 1);
     CHECK(harness.answers == 2);
     CHECK(harness.view_came);
   }
@@ -109,7 +109,7 @@
   CHECK(harness.answers == 1);
   harness.read(3);
   CHECK(harness.request().body_hash == 0);
-  harness.sendParts(3, body, hashOfBody(body), 0, 5);
+  harness.sendParts(3, body, hashBody(body), 0, 5);
   CHECK(harness.view_came);
 }
 
--- a/tests/discovery/view_provider_test.cc
+++ b/tests/discovery/view_provider_test.cc
@@ -76,7 +76,7 @@
   harness.directory.onAlive(balancer(5));
   harness.ask(7);
   const ViewBody body = harness.bodyFor(7);
-  CHECK(body.is_whole);
+  CHECK(body.is_full_view);
   CHECK(body.at == 10);
   REQUIRE(body.changes.size() == 1);
   CHECK(body.changes[0].item.key == "a");
@@ -92,7 +92,7 @@
   harness.content.setPosition(12);
   harness.ask(7, 10);
   const ViewBody changes = harness.bodyFor(7);
-  CHECK_FALSE(changes.is_whole);
+  CHECK_FALSE(changes.is_full_view);
   CHECK(changes.at == 12);
   REQUIRE(changes.changes.size() == 1);
   CHECK(changes.changes[0].item.key == "b");
@@ -119,7 +119,7 @@
   CHECK(std::get<ViewRefusal>(waiting[0]).is_queued);
   harness.serves = true;
   harness.provider.onViewReady();
-  CHECK(harness.bodyFor(7).is_whole);
+  CHECK(harness.bodyFor(7).is_full_view);
   harness.provider.onViewReady();
   CHECK(harness.sent[socketOf(7)].empty());
 }
@@ -160,7 +160,7 @@
   const auto sent = harness.takeSent(7);
   REQUIRE(sent.size() == 1);
   CHECK_FALSE(std::get<ViewRefusal>(sent.front()).is_queued);
-  CHECK(std::get<ViewRefusal>(sent.front()).others == std::vector<Endpoint>{balancer(8)});
+  CHECK(std::get<ViewRefusal>(sent.front()).alternatives == std::vector<Endpoint>{balancer(8)});
   harness.time.elapsed += seconds(3);
   harness.ask(9);
   CHECK(std::get<ViewRefusal>(harness.takeSent(9).front()).is_queued);
@@ -232,9 +232,9 @@
       waiting.insert(number);
       continue;
     }
-    REQUIRE(refusal.others.size() == 1);
-    CHECK(refusal.others.front().address < number);
-    ++referrals[refusal.others.front()];
+    REQUIRE(refusal.alternatives.size() == 1);
+    CHECK(refusal.alternatives.front().address < number);
+    ++referrals[refusal.alternatives.front()];
   }
   // Four copies of 10 ms go beyond the 30 ms that may wait.
   CHECK(served >= 3);
@@ -253,7 +253,7 @@
   CHECK(harness.provider.counters().queued == waiting.size());
   harness.scheduler.advance(milliseconds(400));
   for (const std::uint32_t number : waiting) {
-    CHECK(harness.bodyFor(number).is_whole);
+    CHECK(harness.bodyFor(number).is_full_view);
   }
   // Small changes always go.
   harness.ask(50, 20);
@@ -279,8 +279,8 @@
     const auto messages = harness.takeSent(number);
     const bool is_told = !messages.empty();
     const auto* refusal = is_told ? std::get_if<ViewRefusal>(&messages.front()) : nullptr;
-    if (refusal != nullptr && !refusal->others.empty()) {
-      (refusal->others.front().address % 10 == 0 ? by_strong : by_weak) += 1;
+    if (refusal != nullptr && !refusal->alternatives.empty()) {
+      (refusal->alternatives.front().address % 10 == 0 ? by_strong : by_weak) += 1;
     }
   }
   CHECK(by_strong > 25);
@@ -300,19 +300,21 @@
                                socketOf(asking));
     const auto messages = harness.takeSent(asking);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    named = refusal != nullptr && !refusal->others.empty() ? refusal->others.front() : Endpoint();
+    named = refusal != nullptr && !refusal->alternatives.empty() ? refusal->alternatives.front()
+                                                                 : Endpoint();
   }
   // The same request again: the answer was lost.
   const ViewRequest request{asking, balancer(asking), 0, 0, 0, kAllParts, linkClassOf(20)};
   harness.provider.onRequest(request, socketOf(asking));
-  CHECK(std::get<ViewRefusal>(harness.takeSent(asking).front()).others.front() == named);
+  CHECK(std::get<ViewRefusal>(harness.takeSent(asking).front()).alternatives.front() == named);
   for (std::uint32_t attempt = 0; attempt < 5; ++attempt) {
     ViewRequest anew = request;
     anew.request = 1000 + attempt;
     harness.provider.onRequest(anew, socketOf(asking));
     const auto messages = harness.takeSent(asking);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    CHECK((refusal == nullptr || refusal->others.empty() || refusal->others.front() != named));
+    CHECK((refusal == nullptr || refusal->alternatives.empty() ||
+           refusal->alternatives.front() != named));
   }
 }
 
@@ -330,8 +332,8 @@
     }
     const auto& refusal = std::get<ViewRefusal>(messages.front());
     CHECK(refusal.status.serves_view);
-    REQUIRE(refusal.others.size() == 1);
-    CHECK(refusal.others.front() != balancer(number));
+    REQUIRE(refusal.alternatives.size() == 1);
+    CHECK(refusal.alternatives.front() != balancer(number));
   }
   // Four copies of 10 ms go beyond the 30 ms that may wait.
   CHECK(served >= 3);
--- a/tests/flow/evidence_fixture.h
+++ b/tests/flow/evidence_fixture.h
@@ -42,7 +42,7 @@
     EvidenceDigest digest;
     for (const std::uint32_t server : servers) {
       digest.silent.push_back(
-          {reporters, {BackendId(server), flows, repetitions, attempt_age_ms, kNeverMilliseconds}});
+          {reporters, {BackendId(server), flows, repetitions, attempt_age_ms, kNeverMs}});
     }
     shared.onDigest(digest);
   }
--- a/tests/flow/evidence_reporter_test.cc
+++ b/tests/flow/evidence_reporter_test.cc
@@ -39,9 +39,9 @@
   const auto first = harness.node.reporter.next();
   REQUIRE(first);
   CHECK(first->zone == "lac");
-  CHECK(first->silent == std::vector<ServerSilence>{{BackendId(5), 1, 1, 50, 450}});
-  CHECK(first->servers_in_use == 1);
-  CHECK(first->servers_silent == 1);
+  CHECK(first->silent == std::vector<BackendSilence>{{BackendId(5), 1, 1, 50, 450}});
+  CHECK(first->backends_in_use == 1);
+  CHECK(first->silent_backends == 1);
   CHECK_FALSE(harness.node.reporter.next());
   harness.node.loses(5, 2);
   CHECK(harness.node.reporter.next()->silent.at(0).flows == 2);
@@ -60,8 +60,7 @@
   harness.time.elapsed += milliseconds(50);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->silent ==
-        std::vector<ServerSilence>{{BackendId(5), 0, 0, 150, kNeverMilliseconds}});
+  CHECK(report->silent == std::vector<BackendSilence>{{BackendId(5), 0, 0, 150, kNeverMs}});
 }
 
 TEST_CASE("a server that answers again is reported", "[evidence_reporter]") {
@@ -80,7 +79,7 @@
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
   CHECK(report->silent.empty());
-  CHECK(report->alive == std::vector<ServerLife>{{BackendId(5), 20}});
+  CHECK(report->alive == std::vector<BackendLiveness>{{BackendId(5), 20}});
   CHECK_FALSE(harness.node.reporter.next());
 }
 
@@ -92,7 +91,7 @@
   harness.time.elapsed += milliseconds(10);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->alive == std::vector<ServerLife>{{BackendId(20), 10}});
+  CHECK(report->alive == std::vector<BackendLiveness>{{BackendId(20), 10}});
   harness.time.elapsed += milliseconds(100);
   harness.node.isAnswered(19);
   CHECK_FALSE(harness.node.reporter.next());
@@ -121,8 +120,8 @@
   harness.node.loses(13);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->servers_in_use == 2);
-  CHECK(report->servers_silent == 1);
+  CHECK(report->backends_in_use == 2);
+  CHECK(report->silent_backends == 1);
 }
 
 }  // namespace
--- a/tests/flow/flow_router_test.cc
+++ b/tests/flow/flow_router_test.cc
@@ -143,7 +143,7 @@
       const auto forward = harness.takeOnly<Forward>();
       REQUIRE(forward);
       CHECK(harness.last_destination == addressOf(forward->backend.value()));
-      CHECK(forward->caller == kCaller);
+      CHECK(forward->client == kCaller);
       CHECK(forward->service == ServiceId(1));
       CHECK(forward->mode == ForwardMode::MayStart);
       CHECK(forward->datagram == encodeDatagram(data));
@@ -179,7 +179,7 @@
     harness.receive(Sprayed{kCaller, encodeDatagram(datagram)}, kStranger);
     const auto forward = harness.takeOnly<Forward>();
     REQUIRE(forward);
-    CHECK(forward->caller == kCaller);
+    CHECK(forward->client == kCaller);
     CHECK(forward->datagram == encodeDatagram(datagram));
   }
   harness.receive(Answer{kKey, ServiceId(1), BackendId(1), 0, true, {}});
--- a/tests/flow/shared_evidence_test.cc
+++ b/tests/flow/shared_evidence_test.cc
@@ -315,11 +315,11 @@
           "[shared_evidence]") {
   Harness harness;
   EvidenceDigest many;
-  many.survived_repetitions = 4;
+  many.survived_retransmissions = 4;
   harness.node.shared.onDigest(many);
   harness.node.isTold({5}, 2, 3, 2);
   EvidenceDigest few;
-  few.survived_repetitions = 1;
+  few.survived_retransmissions = 1;
   harness.node.shared.onDigest(few);
   harness.advance(600);
   CHECK_FALSE(harness.isDead(5, 4));
--- a/tests/platform/store_standin.h
+++ b/tests/platform/fake_store.h
@@ -14,12 +14,12 @@
 namespace lugfork::platform {
 
 /** Stand-in of the platform's store, made from its page: items, pages, watches, and failures. */
-class StoreStandin {
+class FakeStore {
  public:
-  StoreStandin()
+  FakeStore()
       : server_({0x7f000001, 0}, [this](const HttpRequest& request) { return handle(request); }) {}
 
-  ~StoreStandin() {
+  ~FakeStore() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
     changed_.notify_all();
@@ -45,7 +45,7 @@
   }
 
   /** Forgets the changes so far: watches from before get 410. */
-  void forgetHistory() {
+  void compactHistory() {
     const std::lock_guard lock(mutex_);
     history_from_ = revision_ + 1;
     history_.clear();
@@ -60,7 +60,7 @@
   }
 
   /** Every body is cut to its first half. */
-  void cutAnswers(bool cut) {
+  void truncateResponses(bool cut) {
     const std::lock_guard lock(mutex_);
     cut_ = cut;
   }
--- a/tests/platform/packet_codec_test.cc
+++ b/tests/platform/packet_codec_test.cc
@@ -49,19 +49,19 @@
                                                              std::uint32_t token) {
     const auto size = *rc::gen::inRange<std::size_t>(0, kMaxDataBytes + 1);
     Bytes packet =
-        *rc::gen::container<Bytes>(kHeadBytes + size, rc::gen::arbitrary<std::uint8_t>());
+        *rc::gen::container<Bytes>(kHeaderBytes + size, rc::gen::arbitrary<std::uint8_t>());
     Backend backend;
     backend.server_id = server_id;
     Bytes datagram;
     kCodec.encodeForBackend(packet, backend, CompactToken{token}, datagram);
-    RC_ASSERT(datagram.size() == packet.size() + kServerPrefixBytes);
-    for (std::size_t index = 0; index < kServerPrefixBytes; ++index) {
+    RC_ASSERT(datagram.size() == packet.size() + kIdPrefixBytes);
+    for (std::size_t index = 0; index < kIdPrefixBytes; ++index) {
       RC_ASSERT(datagram[index] == static_cast<std::uint8_t>(server_id >> (56 - 8 * index)));
     }
     for (std::size_t index = 0; index < 4; ++index) {
       packet[2 + index] = static_cast<std::uint8_t>(token >> (24 - 8 * index));
     }
-    RC_ASSERT(std::equal(packet.begin(), packet.end(), datagram.begin() + kServerPrefixBytes));
+    RC_ASSERT(std::equal(packet.begin(), packet.end(), datagram.begin() + kIdPrefixBytes));
   });
 }
 
@@ -83,7 +83,7 @@
     expected = PacketError::WrongLength;
   }
   SECTION("too much data") {
-    bytes.resize(kHeadBytes + kMaxDataBytes + 1);
+    bytes.resize(kHeaderBytes + kMaxDataBytes + 1);
     bytes[0] = static_cast<std::uint8_t>((kMaxDataBytes + 1) >> 8);
     bytes[1] = static_cast<std::uint8_t>((kMaxDataBytes + 1) & 0xff);
     expected = PacketError::WrongLength;
--- a/tests/platform/packetd_fixture.h
+++ b/tests/platform/packetd_fixture.h
@@ -17,8 +17,8 @@
 #include <optional>
 #include <thread>
 
+#include "platform/fake_store.h"
 #include "platform/reserved_port.h"
-#include "platform/store_standin.h"
 #include "runtime/http_client.h"
 
 /** lugfork-packetd as a process on loopback, and the sockets of its callers and servers. */
@@ -27,10 +27,10 @@
 using Bytes = std::vector<std::uint8_t>;
 
 inline constexpr std::uint32_t kLoopback = 0x7f000001;
-inline constexpr auto kPatience = std::chrono::seconds(15);
+inline constexpr auto kWaitTimeout = std::chrono::seconds(15);
 inline const std::string kKey = "00112233445566778899aabbccddeeff";
 
-inline sockaddr_in nameOf(Endpoint endpoint) {
+inline sockaddr_in toSockaddr(Endpoint endpoint) {
   sockaddr_in name{};
   name.sin_family = AF_INET;
   name.sin_addr.s_addr = htonl(endpoint.address);
@@ -43,7 +43,7 @@
  public:
   explicit TestSocket(std::uint32_t address = kLoopback, std::uint16_t port = 0)
       : socket_(::socket(AF_INET, SOCK_DGRAM, 0)) {
-    const sockaddr_in name = nameOf({address, port});
+    const sockaddr_in name = toSockaddr({address, port});
     REQUIRE(::bind(socket_, reinterpret_cast<const sockaddr*>(&name), sizeof(name)) == 0);
     const timeval limit{1, 0};
     setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
@@ -60,7 +60,7 @@
   }
 
   void send(Endpoint to, const Bytes& bytes) {
-    const sockaddr_in name = nameOf(to);
+    const sockaddr_in name = toSockaddr(to);
     ::sendto(socket_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&name),
              sizeof(name));
   }
@@ -184,7 +184,7 @@
    * @return whether the process can't be ended by a signal's default: it blocks the signal or has a
    * handler, as from its first line on, or it has ended before.
    */
-  bool holdsOrHandles(int number) const {
+  bool blocksOrHandles(int number) const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     const std::uint64_t bit = std::uint64_t{1} << (number - 1);
     bool holds = false;
@@ -245,7 +245,7 @@
     return reply ? reply.value().body : "";
   }
 
-  bool metricsSay(const std::string& line) const {
+  bool waitForMetric(const std::string& line) const {
     return eventually([&] { return metrics().find(line) != std::string::npos; });
   }
 
@@ -255,7 +255,7 @@
   }
 
   static bool eventually(const std::function<bool()>& condition) {
-    const auto limit = Clock::now() + kPatience;
+    const auto limit = Clock::now() + kWaitTimeout;
     while (Clock::now() < limit) {
       if (condition()) {
         return true;
--- a/tests/platform/packetd_start_test.cc
+++ b/tests/platform/packetd_start_test.cc
@@ -12,15 +12,15 @@
 namespace {
 
 /** Settings file that a daemon waits for: a pipe with a name. */
-class HeldSettings {
+class BlockingSettingsFile {
  public:
-  HeldSettings() : path_(temporaryFile("")) {
+  BlockingSettingsFile() : path_(temporaryFile("")) {
     std::remove(path_.c_str());
     REQUIRE(::mkfifo(path_.c_str(), 0600) == 0);
   }
-  ~HeldSettings() { std::remove(path_.c_str()); }
-  HeldSettings(const HeldSettings&) = delete;
-  HeldSettings& operator=(const HeldSettings&) = delete;
+  ~BlockingSettingsFile() { std::remove(path_.c_str()); }
+  BlockingSettingsFile(const BlockingSettingsFile&) = delete;
+  BlockingSettingsFile& operator=(const BlockingSettingsFile&) = delete;
 
   /** Waits until a daemon's main() reads the file. */
   void waitForReader() { writer_ = ::open(path_.c_str(), O_WRONLY); }
@@ -50,12 +50,12 @@
 }
 
 TEST_CASE("a daemon told to stop while it starts ends with its planned stop", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   const int signal = GENERATE(SIGTERM, SIGINT);
   Packetd daemon(store.address());
   const std::string settings = textOf(daemon.settingsFile());
-  HeldSettings held;
+  BlockingSettingsFile held;
   daemon.startWith(held.path());
   held.waitForReader();
   daemon.signal(signal);
@@ -67,11 +67,11 @@
 }
 
 TEST_CASE("settings read again while a daemon starts do not end it", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   Packetd daemon(store.address());
   const std::string settings = textOf(daemon.settingsFile());
-  HeldSettings held;
+  BlockingSettingsFile held;
   daemon.startWith(held.path());
   held.waitForReader();
   daemon.signal(SIGHUP);
@@ -83,14 +83,14 @@
 }
 
 TEST_CASE("daemons told to stop at any moment of main() end with their planned stop", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   constexpr int kDaemons = 12;
   constexpr std::chrono::microseconds kStep{400};
   for (int index = 0; index < kDaemons; ++index) {
     Packetd daemon(store.address());
     const std::string settings = textOf(daemon.settingsFile());
-    HeldSettings held;
+    BlockingSettingsFile held;
     daemon.startWith(held.path());
     held.waitForReader();
     held.give(settings);
@@ -104,7 +104,7 @@
 
 TEST_CASE("the log's lines are whole and of one form before and after its appender is loaded",
           "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   Packetd daemon(store.address());
   std::ofstream(daemon.settingsFile(), std::ios::app)
       << "log-level = \"debug\"\nlog-appender-delay = 200\n";
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE("a daemon whose appender is missing says so and logs on", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   Packetd daemon(store.address());
   std::ofstream(daemon.settingsFile(), std::ios::app) << "log-appender-delay = 0\n";
   std::string folder = "/tmp/lugfork-packetd-XXXXXX";
@@ -144,7 +144,7 @@
 }
 
 TEST_CASE("the metrics tell processor time and the time until the first packet", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   store.put(
       "op/config",
@@ -157,14 +157,14 @@
   daemon.start();
   REQUIRE(daemon.waitForReady(200));
   const std::string first_packet = "\nlugfork_start_to_first_packet_seconds ";
-  CHECK(daemon.metricsSay("\nlugfork_processor_seconds_total 0."));
+  CHECK(daemon.waitForMetric("\nlugfork_processor_seconds_total 0."));
   CHECK(daemon.metrics().find(first_packet) == std::string::npos);
   TestSocket client;
   client.send(daemon.packetAddress(),
               {0,    0,    0,    0,    0,    0,    127, 0, 0, 1, 1, 0xbb, 0xc6, 0x12, 0,    1,
                0x9c, 0x41, 0x11, 0x22, 0x33, 0x44, 0,   0, 0, 0, 4, 0,    0xa1, 0xb2, 0xc3, 0xd5});
   CHECK_FALSE(server.receive().empty());
-  CHECK(daemon.metricsSay(first_packet));
+  CHECK(daemon.waitForMetric(first_packet));
 }
 
 }  // namespace
--- a/tests/platform/packetd_test.cc
+++ b/tests/platform/packetd_test.cc
@@ -56,7 +56,7 @@
 constexpr std::size_t kFlagsAt = 26;
 
 TEST_CASE("a flow goes to its server, with the token that the server got", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   Packetd daemon(store.address());
   daemon.start();
@@ -93,7 +93,7 @@
 
 TEST_CASE("a packet of an open flow does not wait behind openings", "[packetd]") {
   constexpr int kOpenings = 300;
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   store.put("op/config", kRoutes);
   store.put("servers/i-0badcafe01", serverEntry(server.address()));
@@ -122,7 +122,7 @@
 }
 
 TEST_CASE("an opening that waited until its caller sent a copy is not served", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   Packetd daemon(store.address());
   daemon.start();
@@ -130,7 +130,7 @@
   REQUIRE(Packetd::eventually([&] { return daemon.readyStatus() == 503; }));
   client.send(daemon.packetAddress(), opening(40001));
   // The daemon has read it, without a view.
-  REQUIRE(daemon.metricsSay("lugfork_packets_received_total 1"));
+  REQUIRE(daemon.waitForMetric("lugfork_packets_received_total 1"));
   std::this_thread::sleep_for(std::chrono::milliseconds(250));
   store.put("servers/i-0badcafe01", serverEntry(server.address()));
   store.put("op/config", kRoutes);
@@ -140,11 +140,11 @@
   REQUIRE(served.size() == kPrefixBytes + 32);
   CHECK(served[kPrefixBytes + 16] == 40002 >> 8);
   CHECK(served[kPrefixBytes + 17] == (40002 & 0xff));
-  CHECK(daemon.metricsSay(R"(lugfork_packets_dropped_total{cause="opening_outlived"} 1)"));
+  CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="opening_outlived"} 1)"));
 }
 
 TEST_CASE("a zone out of service gets no new flow and keeps its open ones", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket in_lac;
   TestSocket in_ariana;
   store.put("op/config", kRoutes);
@@ -159,7 +159,7 @@
 
   store.put("servers/i-0badcafe02", serverEntry(in_ariana.address(), "ready", "ariana"));
   store.put("op/evacuate/lac", "{}");
-  REQUIRE(daemon.metricsSay("lugfork_zones_out_of_service 1"));
+  REQUIRE(daemon.waitForMetric("lugfork_zones_out_of_service 1"));
   constexpr std::uint16_t kOpenings = 20;
   for (std::uint16_t port = 41000; port < 41000 + kOpenings; ++port) {
     client.send(daemon.packetAddress(), opening(port));
@@ -167,8 +167,9 @@
   for (int count = 0; count < kOpenings; ++count) {
     CHECK(in_ariana.receive().size() == kPrefixBytes + 32);
   }
-  CHECK(daemon.metricsSay(R"(lugfork_flows_placed_total{cause="none",service="s",zone="own"} 1)"));
-  CHECK(daemon.metricsSay(
+  CHECK(
+      daemon.waitForMetric(R"(lugfork_flows_placed_total{cause="none",service="s",zone="own"} 1)"));
+  CHECK(daemon.waitForMetric(
       R"(lugfork_flows_placed_total{cause="capacity",service="s",zone="beyond"} 20)"));
   Bytes data(first.begin() + kPrefixBytes, first.end());
   data[kFlagsAt] = 2;
@@ -178,11 +179,11 @@
   CHECK(next_in_lac[kPrefixBytes + kFlagsAt] == 2);
 
   store.remove("op/evacuate/lac");
-  CHECK(daemon.metricsSay("lugfork_zones_out_of_service 0"));
+  CHECK(daemon.waitForMetric("lugfork_zones_out_of_service 0"));
 }
 
 TEST_CASE("bad input is counted and changes nothing", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   store.put("op/config", kRoutes);
   store.put("servers/i-0badcafe01", serverEntry(server.address()));
@@ -203,22 +204,22 @@
   store.put("op/config", "garbage");
   store.put("servers/i-0badcafe02", "{}");
   store.put("servers/nothex!", serverEntry(server.address()));
-  CHECK(daemon.metricsSay(R"(lugfork_packets_dropped_total{cause="too_short"} 1)"));
-  CHECK(daemon.metricsSay(R"(lugfork_packets_dropped_total{cause="wrong_length"} 1)"));
-  CHECK(daemon.metricsSay(R"(lugfork_packets_dropped_total{cause="unknown_flags"} 1)"));
-  CHECK(daemon.metricsSay(R"(lugfork_packets_dropped_total{cause="unknown_backend"} 1)"));
+  CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="too_short"} 1)"));
+  CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="wrong_length"} 1)"));
+  CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="unknown_flags"} 1)"));
+  CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="unknown_backend"} 1)"));
   const std::string invalid = "lugfork_platform_records_invalid_total";
-  CHECK(daemon.metricsSay(invalid +
-                          R"({cause="the configuration is no JSON of the expected form"} 1)"));
-  CHECK(daemon.metricsSay(invalid + R"({cause="service: missing"} 1)"));
-  CHECK(daemon.metricsSay(invalid + R"({cause="id: not hexadecimal"} 1)"));
-  CHECK(daemon.metricsSay("lugfork_routes_version 7"));
+  CHECK(daemon.waitForMetric(invalid +
+                             R"({cause="the configuration is no JSON of the expected form"} 1)"));
+  CHECK(daemon.waitForMetric(invalid + R"({cause="service: missing"} 1)"));
+  CHECK(daemon.waitForMetric(invalid + R"({cause="id: not hexadecimal"} 1)"));
+  CHECK(daemon.waitForMetric("lugfork_routes_version 7"));
   client.send(daemon.packetAddress(), opening(40002));
   CHECK(server.receive().size() == kPrefixBytes + 32);
 }
 
 TEST_CASE("no answer of the store empties what is known", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   store.put("op/config", kRoutes);
   store.put("servers/i-0badcafe01", serverEntry(server.address()));
@@ -234,9 +235,9 @@
   if (status == 410) {
     store.put("servers/i-0badcafe09", serverEntry(server.address()));
     store.remove("servers/i-0badcafe09");
-    store.forgetHistory();
+    store.compactHistory();
   }
-  store.cutAnswers(status == 200);
+  store.truncateResponses(status == 200);
   store.failWith(status == 410 ? 200 : status);
   store.put("servers/i-0badcafe03", serverEntry({kLoopback, 9}, "draining"));
   if (status != 410) {
@@ -251,14 +252,14 @@
   client.send(daemon.packetAddress(), opening(40003));
   CHECK(server.receive().size() == kPrefixBytes + 32);
 
-  store.cutAnswers(false);
+  store.truncateResponses(false);
   store.failWith(200);
   store.put("op/config", R"({"version":8,"routes":[]})");
-  CHECK(daemon.metricsSay("lugfork_routes_version 8"));
+  CHECK(daemon.waitForMetric("lugfork_routes_version 8"));
 }
 
 TEST_CASE("a node that the store refuses reads what another knows", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   TestSocket server;
   store.put("op/config", kRoutes);
   store.put("servers/i-0badcafe01", serverEntry(server.address()));
@@ -266,7 +267,7 @@
   Packetd first(store.address(), {}, {kLoopback, peer_port.number()});
   first.start();
   REQUIRE(first.waitForReady(200));
-  StoreStandin refusing;
+  FakeStore refusing;
   refusing.failWith(503);
   Packetd second(refusing.address(), {first.controlAddress()}, {kLoopback + 1, peer_port.number()});
   second.start();
@@ -275,7 +276,7 @@
   client.send(second.packetAddress(), opening(40004));
   CHECK(server.receive().size() == kPrefixBytes + 32);
   store.put("op/config", R"({"version":9,"routes":[]})");
-  CHECK(second.metricsSay("lugfork_routes_version 9"));
+  CHECK(second.waitForMetric("lugfork_routes_version 9"));
   CHECK(second.log().find("\"origin\":\"balancer\"") != std::string::npos);
   // Nothing to learn there: the store is left alone while another balancer has a fresh view.
   CHECK(refusing.calls() <= 2);
@@ -283,7 +284,7 @@
 
 TEST_CASE("of two balancers one follows the other, and the store again once that one is dead",
           "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", kRoutes);
   const ReservedPort peer_port;
   Packetd first(store.address(), {}, {kLoopback, peer_port.number()});
@@ -301,18 +302,18 @@
   Packetd& upstream = first_follows ? second : first;
   CHECK_FALSE(follows(upstream));
   store.put("op/config", R"({"version":8,"routes":[]})");
-  CHECK(follower.metricsSay("lugfork_routes_version 8"));
-  CHECK(follower.metricsSay("\nlugfork_upstream_polls_with_changes_total 1"));
+  CHECK(follower.waitForMetric("lugfork_routes_version 8"));
+  CHECK(follower.waitForMetric("\nlugfork_upstream_polls_with_changes_total 1"));
 
   upstream.signal(SIGKILL);
   upstream.wait();
-  CHECK(follower.metricsSay("\nlugfork_upstream{kind=\"balancer\"} 0"));
+  CHECK(follower.waitForMetric("\nlugfork_upstream{kind=\"balancer\"} 0"));
   store.put("op/config", R"({"version":9,"routes":[]})");
-  CHECK(follower.metricsSay("lugfork_routes_version 9"));
+  CHECK(follower.waitForMetric("lugfork_routes_version 9"));
 }
 
 TEST_CASE("a planned stop takes little longer than its quiet time", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", kRoutes);
   Packetd daemon(store.address());
   daemon.start();
@@ -327,7 +328,7 @@
 }
 
 TEST_CASE("the settings are read again on SIGHUP", "[packetd]") {
-  StoreStandin store;
+  FakeStore store;
   store.put("op/config", kRoutes);
   Packetd daemon(store.address());
   daemon.start();
--- a/tests/platform/soak/early_signal_test.cc
+++ b/tests/platform/soak/early_signal_test.cc
@@ -76,7 +76,7 @@
 
 TEST_CASE("soak seed 7204: a signal that comes before a balancer's handlers stand is handled later",
           "[early_signals]") {
-  platform::StoreStandin store;
+  platform::FakeStore store;
   store.put("op/config", R"({"version":1,"routes":[]})");
   Packetd daemon(store.address());
   SettingsPipe settings(daemon.settingsFile());
@@ -112,7 +112,7 @@
 int endOf(Signalled& balancer) {
   if (balancer.number == SIGHUP) {
     // Where SIGHUP has ended it, the second signal goes to nobody.
-    CHECK(Packetd::eventually([&] { return balancer.daemon.holdsOrHandles(SIGTERM); }));
+    CHECK(Packetd::eventually([&] { return balancer.daemon.blocksOrHandles(SIGTERM); }));
     balancer.daemon.signal(SIGTERM);
   }
   return balancer.daemon.wait();
@@ -126,7 +126,7 @@
 
 TEST_CASE("a signal in the first milliseconds of a start ends no program that has begun",
           "[early_signals]") {
-  platform::StoreStandin store;
+  platform::FakeStore store;
   store.put("op/config", R"({"version":1,"routes":[]})");
   std::size_t before_the_program = 0;
   for (std::size_t round = 0; round < kRounds; ++round) {
@@ -136,7 +136,7 @@
       balancer.number = std::array{SIGTERM, SIGHUP, SIGINT}[(round + index) % 3];
       balancer.daemon.start();
       std::this_thread::sleep_for(kStep * index);
-      balancer.had_begun = balancer.daemon.holdsOrHandles(balancer.number);
+      balancer.had_begun = balancer.daemon.blocksOrHandles(balancer.number);
       balancer.daemon.signal(balancer.number);
       before_the_program += balancer.had_begun ? 0 : 1;
     }
--- a/tests/platform/soak/fault_injection.h
+++ b/tests/platform/soak/fault_injection.h
@@ -17,7 +17,7 @@
 struct FaultTargets {
   NodeFleet& nodes;
   ServerPool& pool;
-  platform::StoreStandin& store;
+  platform::FakeStore& store;
   RoutePublisher& routes;
   LinkFaults& links;
   ZoneCut& zone_cut;
@@ -59,11 +59,12 @@
         return failStore(429, fault.duration);
       case FaultKind::StoreCutsAnswers:
         disturb(fault.duration);
-        world_.store.cutAnswers(true);
-        return world_.schedule.after(fault.duration, [this] { world_.store.cutAnswers(false); });
+        world_.store.truncateResponses(true);
+        return world_.schedule.after(fault.duration,
+                                     [this] { world_.store.truncateResponses(false); });
       case FaultKind::StoreForgets:
         disturb(milliseconds(0));
-        return world_.store.forgetHistory();
+        return world_.store.compactHistory();
       case FaultKind::StoreLosesEntries:
         return loseEntries(fault.duration);
       case FaultKind::CrashServer:
--- a/tests/platform/soak/node_fleet.h
+++ b/tests/platform/soak/node_fleet.h
@@ -186,7 +186,7 @@
   static constexpr std::size_t kConnectionsUsed = 6;
 
   static void signal(Node& node, int number) {
-    if (!node.process->holdsOrHandles(number)) {
+    if (!node.process->blocksOrHandles(number)) {
       node.signals_before_it_began.insert(number);
     }
     node.process->signal(number);
--- a/tests/platform/soak/route_publisher.h
+++ b/tests/platform/soak/route_publisher.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "platform/fake_store.h"
 #include "platform/soak/promise_monitor.h"
-#include "platform/store_standin.h"
 
 namespace lugfork::soak {
 
@@ -14,7 +14,7 @@
  */
 class RoutePublisher {
  public:
-  RoutePublisher(platform::StoreStandin& store, PromiseMonitor& monitor)
+  RoutePublisher(platform::FakeStore& store, PromiseMonitor& monitor)
       : store_(store), monitor_(monitor) {
     publish();
   }
@@ -34,7 +34,7 @@
     monitor_.onRouteMoved(kMovingRoute, moving_service_, SoakClock::now());
   }
 
-  platform::StoreStandin& store_;
+  platform::FakeStore& store_;
   PromiseMonitor& monitor_;
   std::string moving_service_ = kFirstService;
   int version_ = 0;
--- a/tests/platform/soak/server_pool.h
+++ b/tests/platform/soak/server_pool.h
@@ -15,7 +15,7 @@
   using CallAfter = std::function<void(std::chrono::milliseconds, std::function<void()>)>;
 
   /** @param client_port port at which clients take the servers' packets. */
-  ServerPool(platform::StoreStandin& store, const ZoneCut& zone_cut, PromiseMonitor& monitor,
+  ServerPool(platform::FakeStore& store, const ZoneCut& zone_cut, PromiseMonitor& monitor,
              const PacketServer::SentTimes& sent_times, std::uint16_t client_port,
              CallAfter call_after)
       : store_(store),
@@ -156,7 +156,7 @@
     }
   }
 
-  platform::StoreStandin& store_;
+  platform::FakeStore& store_;
   const ZoneCut& zone_cut_;
   PromiseMonitor& monitor_;
   const PacketServer::SentTimes& sent_times_;
--- a/tests/platform/soak/soak_world.h
+++ b/tests/platform/soak/soak_world.h
@@ -200,7 +200,7 @@
   CompactTokenCodec tokens_;
   PacketServer::SentTimes sent_times_;
   PacketClient client_;
-  platform::StoreStandin store_;
+  platform::FakeStore store_;
   RoutePublisher routes_;
   LinkFaults links_;
   const platform::ReservedPort port_;
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 #include <optional>
 
-#include "platform/store_standin.h"
+#include "platform/fake_store.h"
 #include "store_codec.h"
 #include "wire/record_codec.h"
 
@@ -17,7 +17,7 @@
 }
 
 /** @return the changes after the beginning of time. */
-std::optional<ItemChanges> watchAll(const StoreStandin& store) {
+std::optional<ItemChanges> watchAll(const FakeStore& store) {
   boost::asio::io_context io_context;
   HttpGetClient http_client(io_context, seconds(1));
   const RealTimeSource time;
@@ -36,7 +36,7 @@
 
 TEST_CASE("of several versions in one answer the newest of each key is passed on",
           "[store_client]") {
-  StoreStandin store;
+  FakeStore store;
   for (int version = 1; version <= 5; ++version) {
     store.put("op/config", routesOf(version));
   }
--- a/tests/platform/store_codec_test.cc
+++ b/tests/platform/store_codec_test.cc
@@ -154,7 +154,7 @@
   for (const auto& [field, good] : all_good.items()) {
     nlohmann::json entry = goodEntry();
     entry.erase(field);
-    const auto without = decodeServerEntry("i-7f", entry.dump(), kTime.systemTime());
+    const auto without = decodeBackendEntry("i-7f", entry.dump(), kTime.systemTime());
     CHECK(without.has_value() == (field == "born"));
     for (const nlohmann::json& value : wrong) {
       const bool is_text = field == "service" || field == "zone" || field == "version";
@@ -164,7 +164,7 @@
       entry[field] = value;
       const auto text = entry.dump(-1, ' ', false, nlohmann::json::error_handler_t::ignore);
       INFO(text);
-      const auto read = decodeServerEntry("i-7f", text, kTime.systemTime());
+      const auto read = decodeBackendEntry("i-7f", text, kTime.systemTime());
       CHECK(read.has_value() == fits);
       if (!read) {
         CHECK(read.error().text.starts_with(field + ": "));
@@ -174,7 +174,7 @@
   for (const std::uint64_t start : std::vector<std::uint64_t>{0, kNowMs + 3'700'000, ~0ULL}) {
     nlohmann::json entry = goodEntry();
     entry["born"] = start;
-    CHECK_FALSE(decodeServerEntry("i-7f", entry.dump(), kTime.systemTime()));
+    CHECK_FALSE(decodeBackendEntry("i-7f", entry.dump(), kTime.systemTime()));
   }
 }
 
@@ -295,12 +295,12 @@
 }
 
 TEST_CASE("ids are hexadecimal after the last hyphen", "[store_codec]") {
-  CHECK(serverIdOf("i-7f3a91c2") == 0x7f3a91c2);
-  CHECK(serverIdOf("a-b-ff") == 0xff);
-  CHECK(serverIdOf("ff") == 0xff);
-  CHECK(serverIdOf("i-xyz") == 0);
-  CHECK(serverIdOf("i-") == 0);
-  CHECK(serverIdOf("i-1ffffffffffffffff") == 0);
+  CHECK(parsePlatformId("i-7f3a91c2") == 0x7f3a91c2);
+  CHECK(parsePlatformId("a-b-ff") == 0xff);
+  CHECK(parsePlatformId("ff") == 0xff);
+  CHECK(parsePlatformId("i-xyz") == 0);
+  CHECK(parsePlatformId("i-") == 0);
+  CHECK(parsePlatformId("i-1ffffffffffffffff") == 0);
 }
 
 }  // namespace
--- a/tests/wire/evidence_messages_test.cc
+++ b/tests/wire/evidence_messages_test.cc
@@ -16,7 +16,7 @@
 /** A report whose every number takes the most bytes. */
 EvidenceReport longestReport() {
   EvidenceReport report{"a-zone-with-a-name", 0xffff, 0xffff, 0xff, {}, {}};
-  for (std::size_t server = 0; server < kMaxServersInEvidence; ++server) {
+  for (std::size_t server = 0; server < kMaxBackendsInEvidence; ++server) {
     report.silent.push_back({BackendId(0xffffffff), 0xff, 0xff, 0xfffe, 0xffff});
     report.alive.push_back({BackendId(0xffffffff), 0xffff});
   }
@@ -45,22 +45,22 @@
                               0,
                               0,
                               {{BackendId(5), 99, 20, 9999, 60000}, {BackendId(6), 1, 0, 19, 39}},
-                              {{BackendId(7), kNeverMilliseconds}}};
+                              {{BackendId(7), kNeverMs}}};
   const auto read = decodeViewMessage(encodeViewMessage(report, kKey), kKey);
   REQUIRE(read);
   const auto& told = std::get<EvidenceReport>(read.value());
-  CHECK(told.silent == std::vector<ServerSilence>{{BackendId(5), 15, 15, 2540, 5080},
-                                                  {BackendId(6), 1, 0, 10, 20}});
-  CHECK(told.alive == std::vector<ServerLife>{{BackendId(7), kNeverMilliseconds}});
+  CHECK(told.silent == std::vector<BackendSilence>{{BackendId(5), 15, 15, 2540, 5080},
+                                                   {BackendId(6), 1, 0, 10, 20}});
+  CHECK(told.alive == std::vector<BackendLiveness>{{BackendId(7), kNeverMs}});
 }
 
 TEST_CASE("a list that is cut is refused", "[evidence_messages]") {
   Bytes bytes = message_codec::encodeVariant(
       ViewMessage(EvidenceReport{"lac", 1, 1, 0, {{BackendId(5), 1, 0, 10, 20}}, {}}));
   // The list of silent servers ends before the last two bytes, which are an empty list.
-  const std::size_t size_at = bytes.size() - 2 - ServerSilence::kPackedBytes - 1;
-  REQUIRE(bytes[size_at] == ServerSilence::kPackedBytes);
-  bytes[size_at] = ServerSilence::kPackedBytes - 1;
+  const std::size_t size_at = bytes.size() - 2 - BackendSilence::kPackedBytes - 1;
+  REQUIRE(bytes[size_at] == BackendSilence::kPackedBytes);
+  bytes[size_at] = BackendSilence::kPackedBytes - 1;
   bytes.erase(bytes.end() - 3);
   const auto read = message_codec::decodeVariant<ViewMessage>(bytes.data(), bytes.size());
   REQUIRE_FALSE(read);
@@ -74,7 +74,7 @@
   CHECK(bytes <= wireBytesOf(report));
   CHECK(bytes <= kMaxDatagramBytes);
   EvidenceDigest digest{"a-zone-with-a-name", 0xff, {}, report.alive};
-  for (const ServerSilence& silent : report.silent) {
+  for (const BackendSilence& silent : report.silent) {
     digest.silent.push_back({0xff, silent});
   }
   CHECK(encodeViewMessage(digest, kKey).size() + kHeaders <= wireBytesOf(digest));
--- a/tests/wire/peer_codec_test.cc
+++ b/tests/wire/peer_codec_test.cc
@@ -10,7 +10,7 @@
 GossipHeader someGossip() {
   BackendObservation observation;
   observation.report.backend = BackendId(7);
-  observation.own_word = true;
+  observation.self_announced = true;
   return {kMember, {ConfigVersion(3), 0xfeed}, {kMember}, {observation}};
 }
 
--- a/tests/wire/view_transfer_codec_test.cc
+++ b/tests/wire/view_transfer_codec_test.cc
@@ -62,7 +62,7 @@
       decodeViewMessage(encodeViewMessage(ViewRefusal{1, {}, true, {{2, 3}}}, kKey), kKey);
   REQUIRE(refusal);
   CHECK(std::get<ViewRefusal>(refusal.value()).is_queued);
-  CHECK(std::get<ViewRefusal>(refusal.value()).others == std::vector<Endpoint>{{2, 3}});
+  CHECK(std::get<ViewRefusal>(refusal.value()).alternatives == std::vector<Endpoint>{{2, 3}});
 }
 
 TEST_CASE("a full part and a full list of peers fit into a datagram", "[view_transfer_codec]") {
@@ -71,7 +71,7 @@
   CHECK(encoded.size() <= kMaxDatagramBytes);
   CHECK(decodeViewMessage(encoded, kKey));
   const PeersReply reply{
-      ~0ULL, std::vector<KnownPeer>(kMaxPeersInMessage, KnownPeer({0x0affffff, 65535}, 255))};
+      ~0ULL, std::vector<KnownPeer>(kMaxPeersPerMessage, KnownPeer({0x0affffff, 65535}, 255))};
   const Bytes list = encodeViewMessage(reply, kKey);
   CHECK(list.size() <= kMaxDatagramBytes);
   CHECK(decodeViewMessage(list, kKey));
@@ -102,7 +102,7 @@
   CHECK(read.value().changes[0].item.created == 3);
   CHECK(read.value().changes[1].deleted);
   CHECK(read.value().at == 9);
-  CHECK(read.value().is_whole);
+  CHECK(read.value().is_full_view);
   CHECK(read.value().peers == std::vector<KnownPeer>{KnownPeer({1, 2}, 7)});
   CHECK(decodeViewBody(encodeViewBody({})));
 }
@@ -121,7 +121,7 @@
   const auto random = makeSeededRandom(8);
   ViewBody body = viewOf(servers);
   for (ItemChange& change : body.changes) {
-    putStart(1'764'700'000'000 - random->below(within_ms), change.item.value);
+    insertStartTime(1'764'700'000'000 - random->below(within_ms), change.item.value);
   }
   return body;
 }
@@ -147,7 +147,7 @@
 
 TEST_CASE("starts that are not known stay unknown beside others", "[view_transfer_codec]") {
   ViewBody body = viewWithStarts(3, 1000);
-  takeStart(body.changes[1].item.value);
+  extractStartTime(body.changes[1].item.value);
   body.changes.push_back({{"gone", "", 9, 0}, true});
   const auto read = decodeViewBody(encodeViewBody(body));
   REQUIRE(read);
@@ -168,9 +168,9 @@
   };
   std::vector<Change> changes;
   Revision at = 0;
-  bool is_whole = false;
+  bool is_full_view = false;
   std::vector<KnownPeer> peers;
-  auto fields() { return std::tie(changes, at, is_whole, peers); }
+  auto fields() { return std::tie(changes, at, is_full_view, peers); }
 };
 
 TEST_CASE("balancers without knowledge of starts read the body before them",
@@ -198,7 +198,7 @@
 TEST_CASE("a body of a balancer without knowledge of starts tells none", "[view_transfer_codec]") {
   auto read = decodeViewBody(encodeViewBody(viewOf(5)));
   REQUIRE(read);
-  CHECK(takeStart(read.value().changes[0].item.value) == 0);
+  CHECK(extractStartTime(read.value().changes[0].item.value) == 0);
 }
 
 TEST_CASE("a body that is cut, changed in size or of another version is refused",
