--- a/src/wire/codec_error.h
+++ b/src/wire/codec_error.h
@@ -4,10 +4,10 @@
 
 namespace lugfork {
 
-/** Why bytes from the network were not accepted as a message. */
+/** Reason for which received bytes were rejected as a message. */
 enum class CodecError { TooLarge, Malformed, TrailingBytes, UnknownType, BadField };
 
-/** Stable name of a codec error, for logs and metrics. */
+/** @return the stable name of a codec error for logs and metrics. */
 const char* toString(CodecError error);
 
 }  // namespace lugfork
--- a/src/wire/datagram.h
+++ b/src/wire/datagram.h
@@ -9,26 +9,26 @@
 #include "common/ids.h"
 
 /**
- * Datagrams of the data path, exchanged over UDP by callers, balancers and back ends.
+ * Datagrams of the data path, exchanged over UDP between clients, balancers and backends.
  *
- * A struct's fields() lists what goes on the wire, in order; the codec packs it as one msgpack
- * array. The position of a type in the Datagram variant is its number on the wire, so new types go
- * to the end.
+ * fields() of a struct lists its encoded fields in wire order; the codec packs a datagram as one
+ * msgpack array. The index of a type in the Datagram variant is its type number on the wire, so new
+ * types are appended.
  */
 namespace lugfork {
 
 using Bytes = std::vector<std::uint8_t>;
 
-/** Largest datagram, in bytes; fits an Ethernet frame without fragmentation. */
+/** Maximum size of a datagram [bytes]; fits an Ethernet frame without IP fragmentation. */
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
 
-/** Largest payload of one Data or Answer datagram, in bytes. */
+/** Maximum payload of one Data or Answer datagram [bytes]. */
 inline constexpr std::size_t kMaxPayloadBytes = 1000;
 
-/** Sealed placement token as it stands on the wire (see flow/token.h). */
+/** Sealed placement token in its wire format (see flow/token.h). */
 using TokenBytes = Bytes;
 
-/** Why work was refused or a flow was reset. Numbers are part of the protocol. */
+/** Reason of a refusal or a reset. The numeric values are part of the protocol. */
 enum class Reason : std::uint8_t {
   None = 0,
   NoBackendInAllowedZones = 1,
@@ -48,34 +48,34 @@
   Last = Joining,
 };
 
-/** Caller asks for a placement. Carries no work. */
+/** Placement request of a client. Carries no request data. */
 struct Open {
   Endpoint service;
   FlowKey key;
   auto fields() { return std::tie(service, key); }
 };
 
-/** Balancer answers an Open with the sealed placement. */
+/** Balancer's reply to an Open: the sealed placement. */
 struct Placed {
   FlowKey key;
   TokenBytes token;
   auto fields() { return std::tie(key, token); }
 };
 
-/** One piece of a request, from the caller to the back end that the token names. */
+/** One segment of a request, from the client to the backend named in the token. */
 struct Data {
   Endpoint service;
   FlowKey key;
   TokenBytes token;
   std::uint32_t sequence = 0;
   bool last = false;
-  /** Milliseconds that the caller will still wait for the whole answer; 0 for no limit. */
+  /** Time for which the client still waits for the complete answer [ms]; 0 for no limit. */
   std::uint32_t deadline_ms = 0;
   Bytes payload;
   auto fields() { return std::tie(service, key, token, sequence, last, deadline_ms, payload); }
 };
 
-/** Caller confirms all pieces of the answer below next_expected; also keeps the flow alive. */
+/** Client acknowledges all answer segments below next_expected; also keeps the flow alive. */
 struct AnswerAck {
   Endpoint service;
   FlowKey key;
@@ -84,7 +84,7 @@
   auto fields() { return std::tie(service, key, token, next_expected); }
 };
 
-/** Caller no longer wants the answer. */
+/** Client cancels the request and expects no further answer. */
 struct Cancel {
   Endpoint service;
   FlowKey key;
@@ -92,14 +92,14 @@
   auto fields() { return std::tie(service, key, token); }
 };
 
-/** Back end confirms all pieces of the request below next_expected. */
+/** Backend acknowledges all request segments below next_expected. */
 struct DataAck {
   FlowKey key;
   std::uint32_t next_expected = 0;
   auto fields() { return std::tie(key, next_expected); }
 };
 
-/** One piece of the answer, from the back end straight to the caller. */
+/** One segment of the answer, sent by the backend directly to the client. */
 struct Answer {
   FlowKey key;
   ServiceId service;
@@ -110,28 +110,28 @@
   auto fields() { return std::tie(key, service, backend, sequence, last, payload); }
 };
 
-/** What a refusal is about. */
+/** What a refusal applies to. */
 enum class RefusalScope : std::uint8_t {
-  /** The Open: this balancer gave no placement. Says nothing of placements by other balancers. */
+  /** The Open: this balancer made no placement. Doesn't cover placements by other balancers. */
   Placement = 0,
-  /** The attempt: the back end that its token names did not and will not run it. */
+  /** The attempt: the backend named in its token did not run it and will not run it. */
   Attempt = 1,
   Last = Attempt,
 };
 
-/** The request was not run and will not run within the scope. Only said where certain. */
+/** The request was not run and will not be run within the scope. Sent only if this is certain. */
 struct Refused {
   FlowKey key;
   Reason reason = Reason::None;
-  /** Earliest useful time for another try, in milliseconds from now. */
+  /** Minimum delay before a retry [ms]. */
   std::uint32_t retry_after_ms = 0;
-  /** Placement for the next attempt where the balancer placed again at once; else empty. */
+  /** Token for the next attempt if the balancer placed the flow again at once; else empty. */
   TokenBytes replacement;
   RefusalScope scope = RefusalScope::Placement;
   auto fields() { return std::tie(key, reason, retry_after_ms, replacement, scope); }
 };
 
-/** The flow can't go on and whether the request ran is unknown. */
+/** The flow can't be continued; whether the request was run is unknown. */
 struct Reset {
   FlowKey key;
   Reason reason = Reason::None;
@@ -139,17 +139,17 @@
   auto fields() { return std::tie(key, reason, retry_after_ms); }
 };
 
-/** Whether a forwarded datagram may start work that the back end does not know yet. */
+/** Whether a forwarded datagram may start a request that is new to the backend. */
 enum class ForwardMode : std::uint8_t { MayStart = 0, ContinueOnly = 1, Last = ContinueOnly };
 
-/** Caller's datagram on its way through the fabric to a balancer. */
+/** Client datagram that the fabric forwards to a balancer. */
 struct Sprayed {
   Endpoint client;
   Bytes datagram;
   auto fields() { return std::tie(client, datagram); }
 };
 
-/** Caller's datagram on its way from a balancer to the back end. */
+/** Client datagram that a balancer forwards to a backend. */
 struct Forward {
   Endpoint client;
   BackendId backend;
@@ -159,14 +159,14 @@
   auto fields() { return std::tie(client, backend, service, mode, datagram); }
 };
 
-/** Back end tells the forwarding balancer that the attempt was not run, or is not known to it. */
+/** Backend's reply to the forwarding balancer: it did not run the attempt or doesn't know it. */
 struct BackendRefusal {
   Endpoint client;
   FlowKey key;
   ServiceId service;
   BackendId backend;
   Reason reason = Reason::None;
-  /** True where the attempt certainly did not and will not run here. */
+  /** True if the attempt certainly was not run and will not be run by this backend. */
   bool not_run = false;
   std::uint32_t retry_after_ms = 0;
   auto fields() { return std::tie(client, key, service, backend, reason, not_run, retry_after_ms); }
@@ -175,7 +175,7 @@
 using Datagram = std::variant<Open, Placed, Data, AnswerAck, Cancel, DataAck, Answer, Refused,
                               Reset, Sprayed, Forward, BackendRefusal>;
 
-/** Stable name of a reason, for logs, metrics and the API. */
+/** @return the stable name of a reason for logs, metrics and the API. */
 const char* toString(Reason reason);
 
 }  // namespace lugfork
--- a/src/wire/datagram_codec.h
+++ b/src/wire/datagram_codec.h
@@ -7,13 +7,13 @@
 
 namespace lugfork {
 
-/** @return the datagram as it goes on the wire (msgpack). */
+/** @return the encoded datagram (msgpack). */
 Bytes encodeDatagram(const Datagram& datagram);
 
 /**
- * Reads a datagram from the wire.
- * @return the datagram, or why the bytes are none: too large, malformed, of an unknown type, or
- * with a field outside its range.
+ * Decodes a datagram.
+ * @return the datagram, or the error: too large, malformed, trailing bytes, unknown type, or a
+ * field of a wrong type or out of range.
  */
 Result<Datagram, CodecError> decodeDatagram(std::span<const std::uint8_t> bytes);
 
--- a/src/wire/evidence_messages.cc
+++ b/src/wire/evidence_messages.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-/** Ages are sent in steps of these [ms], rounded down: a sign of life must not seem older. */
-constexpr std::uint16_t kAgeStep = 10;
-constexpr std::uint16_t kLifeAgeStep = 20;
-constexpr std::uint8_t kNever = 0xff;
-constexpr std::uint8_t kMostInHalfByte = 15;
+/** Resolution of encoded ages. They are rounded down so that a sign of life never appears older. */
+constexpr std::uint16_t kAgeStepMs = 10;
+constexpr std::uint16_t kLivenessAgeStepMs = 20;
+constexpr std::uint8_t kNeverSteps = 0xff;
+constexpr std::uint8_t kMaxNibble = 15;
 constexpr std::size_t kIdBytes = 4;
 
 void packId(BackendId backend, Bytes& out) {
@@ -27,40 +27,40 @@
   return BackendId(id);
 }
 
-std::uint8_t packAge(std::uint16_t age_ms, std::uint16_t step) {
-  const int steps = std::min<int>(age_ms / step, kNever - 1);
-  return age_ms == kNeverMs ? kNever : static_cast<std::uint8_t>(steps);
+std::uint8_t packAge(std::uint16_t age_ms, std::uint16_t step_ms) {
+  const int steps = std::min<int>(age_ms / step_ms, kNeverSteps - 1);
+  return age_ms == kNeverMs ? kNeverSteps : static_cast<std::uint8_t>(steps);
 }
 
-std::uint16_t unpackAge(std::uint8_t steps, std::uint16_t step) {
-  return steps == kNever ? kNeverMs : static_cast<std::uint16_t>(steps * step);
+std::uint16_t unpackAge(std::uint8_t steps, std::uint16_t step_ms) {
+  return steps == kNeverSteps ? kNeverMs : static_cast<std::uint16_t>(steps * step_ms);
 }
 
 }  // namespace
 
 void BackendSilence::packTo(Bytes& out) const {
   packId(backend, out);
-  const int counts =
-      (std::min(flows, kMostInHalfByte) << 4) | std::min(retransmissions, kMostInHalfByte);
+  const int counts = (std::min(flows, kMaxNibble) << 4) | std::min(retransmissions, kMaxNibble);
   out.push_back(static_cast<std::uint8_t>(counts));
-  out.push_back(packAge(attempt_age_ms, kAgeStep));
-  out.push_back(packAge(liveness_age_ms, kLifeAgeStep));
+  out.push_back(packAge(attempt_age_ms, kAgeStepMs));
+  out.push_back(packAge(liveness_age_ms, kLivenessAgeStepMs));
 }
 
 BackendSilence BackendSilence::unpack(const std::uint8_t* bytes) {
   const std::uint8_t counts = bytes[kIdBytes];
   return {unpackId(bytes), static_cast<std::uint8_t>(counts >> 4),
-          static_cast<std::uint8_t>(counts & kMostInHalfByte),
-          unpackAge(bytes[kIdBytes + 1], kAgeStep), unpackAge(bytes[kIdBytes + 2], kLifeAgeStep)};
+          static_cast<std::uint8_t>(counts & kMaxNibble),
+          unpackAge(bytes[kIdBytes + 1], kAgeStepMs),
+          unpackAge(bytes[kIdBytes + 2], kLivenessAgeStepMs)};
 }
 
 void BackendLiveness::packTo(Bytes& out) const {
   packId(backend, out);
-  out.push_back(packAge(age_ms, kAgeStep));
+  out.push_back(packAge(age_ms, kAgeStepMs));
 }
 
 BackendLiveness BackendLiveness::unpack(const std::uint8_t* bytes) {
-  return {unpackId(bytes), unpackAge(bytes[kIdBytes], kAgeStep)};
+  return {unpackId(bytes), unpackAge(bytes[kIdBytes], kAgeStepMs)};
 }
 
 void SummedSilence::packTo(Bytes& out) const {
--- a/src/wire/evidence_messages.h
+++ b/src/wire/evidence_messages.h
@@ -7,39 +7,39 @@
 
 #include "wire/datagram.h"
 
-/** What balancers of one zone tell each other of servers that do not answer. */
+/** Messages in which the balancers of a zone share evidence of unresponsive backends. */
 namespace lugfork {
 
-/** Age of something that never was [ms]. */
+/** Age of an event that never occurred [ms]. */
 inline constexpr std::uint16_t kNeverMs = 0xffff;
 /**
- * Servers in one digest at most, which stays under half a kilobyte with its headers. In a report
- * the bound holds for the silent servers, and for signs of life of single servers.
+ * Maximum number of backends in one digest, which keeps it below half a kilobyte with its headers.
+ * In a report the bound applies to the silent and to the live backends separately.
  */
 inline constexpr std::size_t kMaxBackendsInEvidence = 48;
 
-/** What one balancer has seen of a server that does not answer it. */
+/** One balancer's observation of a backend that doesn't answer it. */
 struct BackendSilence {
   BackendId backend;
-  /** Flows that went unanswered since its last sign of life. */
+  /** Number of flows that went unanswered since the last sign of life. */
   std::uint8_t flows = 0;
-  /** Most repetitions of one of them. */
+  /** Maximum number of retransmissions of one of these flows. */
   std::uint8_t retransmissions = 0;
   /** Age of the last unanswered attempt [ms]. */
   std::uint16_t attempt_age_ms = 0;
-  /** Age of the last sign of life [ms]. */
+  /** Age of the last sign of life [ms]; kNeverMs if there was none. */
   std::uint16_t liveness_age_ms = kNeverMs;
-  /** Counts above 15 and ages above 2.5 s (attempt) and 5 s (life) are sent as these limits. */
+  /** Counts above 15 and ages above 2.5 s (attempt) and 5 s (liveness) are sent as these limits. */
   static constexpr std::uint32_t kPackedBytes = 7;
   void packTo(Bytes& out) const;
   static BackendSilence unpack(const std::uint8_t* bytes);
   bool operator==(const BackendSilence&) const = default;
 };
 
-/** A server that answers. */
+/** A backend that answers. */
 struct BackendLiveness {
   BackendId backend;
-  /** Age of the sign of life [ms]. */
+  /** Age of its last sign of life [ms]. */
   std::uint16_t age_ms = 0;
   static constexpr std::uint32_t kPackedBytes = 5;
   void packTo(Bytes& out) const;
@@ -47,14 +47,14 @@
   bool operator==(const BackendLiveness&) const = default;
 };
 
-/** One balancer's observations, sent to the balancer that sums for its zone. */
+/** One balancer's observations, sent to the collector of its zone. */
 struct EvidenceReport {
-  /** Zone of who reports: its observations hold for that zone only. */
+  /** Zone of the reporter; its observations are valid for that zone only. */
   std::string zone;
-  /** Servers near the reporter that it has used lately, and how many of these do not answer it. */
+  /** Number of local backends that the reporter used recently, and how many of them are silent. */
   std::uint16_t backends_in_use = 0;
   std::uint16_t silent_backends = 0;
-  /** Most repetitions after which a server still answered lately. */
+  /** Maximum number of retransmissions after which a backend recently still answered. */
   std::uint8_t survived_retransmissions = 0;
   std::vector<BackendSilence> silent;
   std::vector<BackendLiveness> alive;
@@ -64,11 +64,11 @@
   }
 };
 
-/** What a zone's balancers have seen of a server, summed. */
+/** Observations of one backend, summed over the balancers of a zone. */
 struct SummedSilence {
-  /** Different balancers that got no answer. */
+  /** Number of distinct balancers that got no answer. */
   std::uint8_t reporters = 0;
-  /** Flows and last attempt over all, most repetitions, last sign of life to any. */
+  /** Total of flows, maximum of retransmissions, latest attempt and sign of life of all reports. */
   BackendSilence silence;
   static constexpr std::uint32_t kPackedBytes = 1 + BackendSilence::kPackedBytes;
   void packTo(Bytes& out) const;
@@ -76,9 +76,9 @@
   bool operator==(const SummedSilence&) const = default;
 };
 
-/** What the balancers of a zone have seen together, sent to those that report. */
+/** Summed observations of a zone, sent by the collector to the reporters. */
 struct EvidenceDigest {
-  /** Zone of the sender; a receiver in another zone stops reporting to it. */
+  /** Zone of the collector; a receiver in another zone stops reporting to it. */
   std::string zone;
   std::uint8_t survived_retransmissions = 0;
   std::vector<SummedSilence> silent;
--- a/src/wire/message_codec.h
+++ b/src/wire/message_codec.h
@@ -13,8 +13,8 @@
 
 /**
  * Generic msgpack codec for a variant of message structs. A message is the array
- * [type number, fields...]; a struct's fields() gives the fields in order. Included by the codecs'
- * source files only, to keep msgpack out of other headers.
+ * [type number, fields...]; fields() of a struct defines the order of its fields. Only included by
+ * source files of codecs, to keep msgpack out of other headers.
  */
 namespace lugfork::message_codec {
 
@@ -34,7 +34,7 @@
 template <std::size_t Size>
 struct IsByteArray<std::array<std::uint8_t, Size>> : std::true_type {};
 
-/** Byte string that is kept as a text, where that saves a copy. */
+/** Byte string that is stored as a std::string, which saves a copy. */
 struct BinaryText {
   std::string text;
 };
@@ -44,7 +44,7 @@
 template <typename T>
 struct IsVector<std::vector<T>> : std::true_type {};
 
-/** Structs of a fixed size that go as plain bytes, where thousands of them are sent. */
+/** Structs of a fixed size that are encoded as plain bytes, because thousands of them are sent. */
 template <typename T>
 concept HasPackedForm = requires {
   T::kPackedBytes;
@@ -93,13 +93,13 @@
 template <typename T>
 bool unpackValue(const msgpack::object& object, T& value);
 
-/** Structs whose last fields may be missing, and then keep their default. */
+/** Structs whose trailing fields are optional; missing ones keep their default. */
 template <typename T>
 concept HasOptionalFields = requires {
   T::kFieldsAlwaysThere;
 };
 
-/** @return the fewest fields with which a struct may come. */
+/** @return the minimum number of encoded fields of a struct. */
 template <typename T>
 constexpr std::size_t minFieldCount(std::size_t all) {
   if constexpr (HasOptionalFields<T>) {
@@ -108,7 +108,7 @@
   return all;
 }
 
-/** Reads as many fields as there are. */
+/** Decodes the fields that are present. */
 template <typename Fields, std::size_t... Index>
 bool unpackFields(const msgpack::object_array& array, std::size_t offset,
                   [[maybe_unused]] Fields fields, std::index_sequence<Index...>) {
@@ -138,7 +138,7 @@
   return true;
 }
 
-/** Reads elements that were packed one behind the other. */
+/** Decodes a byte string of consecutive packed elements. */
 template <HasPackedForm T>
 bool unpackPackedVector(const msgpack::object& object, std::vector<T>& values) {
   if (object.type != msgpack::type::BIN || object.via.bin.size % T::kPackedBytes != 0) {
@@ -239,7 +239,7 @@
   return Bytes(buffer.data(), buffer.data() + buffer.size());
 }
 
-/** @return a struct by itself, as the array of its fields. */
+/** @return a struct without a type number, encoded as the array of its fields. */
 template <typename T>
 Bytes encodeStruct(const T& value) {
   msgpack::sbuffer buffer;
@@ -249,9 +249,9 @@
 }
 
 /**
- * Reads what encodeStruct wrote.
- * @param consumed set to the bytes that the struct takes; others may follow it.
- * @return false where the bytes are no such struct.
+ * Decodes a struct that encodeStruct encoded.
+ * @param consumed set to the encoded size of the struct [bytes]; other data may follow it.
+ * @return false if the bytes don't hold such a struct.
  */
 template <typename T>
 bool decodeStruct(const Bytes& bytes, T& value, std::size_t& consumed) {
@@ -268,7 +268,7 @@
   }
 }
 
-/** Reads a struct that takes all of the bytes. */
+/** Decodes a struct that takes up all of the bytes. */
 template <typename T>
 bool decodeStruct(const Bytes& bytes, T& value) {
   std::size_t consumed = 0;
@@ -295,7 +295,7 @@
 Result<Variant, CodecError> decodeVariant(const std::uint8_t* data, std::size_t size) {
   try {
     std::size_t consumed = 0;
-    // Strings and bytes are referenced in place; no nesting in our messages is deeper than this.
+    // Strings and bytes are referenced in place. No message of this protocol is nested deeper.
     const msgpack::unpack_limit limits(size, 0, size, size, 0, 8);
     msgpack::zone zone;
     bool referenced = false;
--- a/src/wire/peer_codec.h
+++ b/src/wire/peer_codec.h
@@ -7,10 +7,10 @@
 
 namespace lugfork {
 
-/** @return the message as it goes into a ZeroMQ frame (msgpack). */
+/** @return the message encoded for a ZeroMQ frame (msgpack). */
 Bytes encodePeerMessage(const PeerMessage& message);
 
-/** Reads a peer message. @return the message, or why the bytes are none. */
+/** Decodes a peer message. @return the message, or the decoding error. */
 Result<PeerMessage, CodecError> decodePeerMessage(std::span<const std::uint8_t> bytes);
 
 }  // namespace lugfork
--- a/src/wire/peer_message.h
+++ b/src/wire/peer_message.h
@@ -10,15 +10,15 @@
 #include "wire/datagram.h"
 
 /**
- * Messages between balancers, one to a ZeroMQ frame. As for datagrams, fields() gives the wire
- * order and the position in the PeerMessage variant is the type's number on the wire.
+ * Messages between balancers, one per ZeroMQ frame. As for datagrams, fields() defines the wire
+ * order and the index in the PeerMessage variant is the type number on the wire.
  */
 namespace lugfork {
 
-/** Largest peer message, in bytes. */
+/** Maximum size of a peer message [bytes]. */
 inline constexpr std::size_t kMaxPeerMessageBytes = 64UL * 1024;
 
-/** State of a balancer as the fleet believes it. Of one incarnation the higher state wins. */
+/** Membership state of a balancer. Within one incarnation the higher state takes precedence. */
 enum class MemberState : std::uint8_t {
   Alive = 0,
   Leaving = 1,
@@ -27,19 +27,19 @@
   Last = Dead
 };
 
-/** One balancer as membership knows it. */
+/** Membership entry of one balancer. */
 struct MemberRecord {
   std::string name;
   std::string zone;
   Endpoint peer_address;
   MemberState state = MemberState::Alive;
-  /** Life of the member: the wall-clock start in milliseconds, raised by each refutation. */
+  /** Incarnation of the member: its start time [Unix ms], incremented by each refutation. */
   std::uint64_t incarnation = 0;
   auto fields() { return std::tie(name, zone, peer_address, state, incarnation); }
   bool operator==(const MemberRecord&) const = default;
 };
 
-/** A back end's report, and whether the back end itself announced on the data path to drain. */
+/** Report on a backend, and whether the backend itself announced draining on the data path. */
 struct BackendObservation {
   BackendReport report;
   bool self_announced = false;
@@ -47,7 +47,7 @@
   bool operator==(const BackendObservation&) const = default;
 };
 
-/** Version and content of a configuration; two documents of one version differ in the digest. */
+/** Version and content digest; distinguishes two documents that have the same version. */
 struct ConfigurationId {
   ConfigVersion version;
   std::uint64_t digest = 0;
@@ -55,7 +55,7 @@
   auto operator<=>(const ConfigurationId&) const = default;
 };
 
-/** What every probe message carries besides its own purpose. */
+/** Gossip that is piggybacked on every probe message. */
 struct GossipHeader {
   MemberRecord sender;
   ConfigurationId configuration;
@@ -64,21 +64,21 @@
   auto fields() { return std::tie(sender, configuration, members, observations); }
 };
 
-/** Asks a peer for a sign of life. */
+/** Liveness probe of a peer. */
 struct Ping {
   std::uint64_t sequence = 0;
   GossipHeader gossip;
   auto fields() { return std::tie(sequence, gossip); }
 };
 
-/** Answers a Ping. */
+/** Reply to a Ping. */
 struct PingAck {
   std::uint64_t sequence = 0;
   GossipHeader gossip;
   auto fields() { return std::tie(sequence, gossip); }
 };
 
-/** Asks a peer to ping a third one and to pass on its answer. */
+/** Indirect probe: asks a peer to ping the target and to relay its reply. */
 struct PingRequest {
   std::uint64_t sequence = 0;
   Endpoint target;
@@ -86,33 +86,33 @@
   auto fields() { return std::tie(sequence, target, gossip); }
 };
 
-/** News that need no answer. */
+/** Gossip update that needs no reply. */
 struct GossipPush {
   GossipHeader gossip;
   auto fields() { return std::tie(gossip); }
 };
 
-/** Asks for a page of the members that the peer knows. */
+/** Requests one page of the peer's member list. */
 struct MembersRequest {
   std::uint32_t from_index = 0;
   auto fields() { return std::tie(from_index); }
 };
 
-/** One page of members; next_index is 0 after the last page. */
+/** One page of members; next_index is 0 in the last page. */
 struct MembersReply {
   std::vector<MemberRecord> members;
   std::uint32_t next_index = 0;
   auto fields() { return std::tie(members, next_index); }
 };
 
-/** Asks for the back ends that the peer believes should get no new work. */
+/** Requests the peer's observations of backends that should get no new work. */
 struct ObservationsRequest {
-  /** Most observations that the sender takes. */
+  /** Maximum number of observations in the reply. */
   std::uint32_t limit = 0;
   auto fields() { return std::tie(limit); }
 };
 
-/** Answers an ObservationsRequest. */
+/** Reply to an ObservationsRequest. */
 struct ObservationsReply {
   std::vector<BackendObservation> observations;
   auto fields() { return std::tie(observations); }
@@ -128,7 +128,7 @@
   Last = TokenKey
 };
 
-/** Names one resource; the system's name counts as resource with id 0. */
+/** Identifies one resource; the system name is a resource with id 0. */
 struct ResourceKey {
   ResourceKind kind = ResourceKind::System;
   std::uint32_t id = 0;
@@ -136,7 +136,7 @@
   auto operator<=>(const ResourceKey&) const = default;
 };
 
-/** One resource in its encoded form. */
+/** One encoded resource. */
 struct ResourceRecord {
   ResourceKey key;
   Bytes body;
@@ -144,7 +144,7 @@
   bool operator==(const ResourceRecord&) const = default;
 };
 
-/** Asks for what leads from the sender's configuration to the peer's. */
+/** Requests the delta from the sender's configuration to the peer's. */
 struct ConfigurationRequest {
   ConfigurationId current;
   auto fields() { return std::tie(current); }
@@ -159,14 +159,14 @@
   auto fields() { return std::tie(from, to, changed, removed); }
 };
 
-/** Digest of each bucket of resources, where no delta can be given. */
+/** Digest of each bucket of resources; sent if no delta is available. */
 struct ConfigurationSummary {
   ConfigurationId configuration;
   std::vector<std::uint64_t> bucket_digests;
   auto fields() { return std::tie(configuration, bucket_digests); }
 };
 
-/** Asks for some buckets of the configuration that a summary described. */
+/** Requests buckets of the configuration that a summary describes. */
 struct BucketRequest {
   ConfigurationId configuration;
   std::uint32_t bucket_count = 0;
@@ -174,7 +174,7 @@
   auto fields() { return std::tie(configuration, bucket_count, buckets); }
 };
 
-/** All resources of some buckets. */
+/** All resources of the requested buckets. */
 struct BucketReply {
   ConfigurationId configuration;
   std::vector<std::uint32_t> buckets;
--- a/src/wire/record_codec.h
+++ b/src/wire/record_codec.h
@@ -3,26 +3,26 @@
 #include "discovery/platform_records.h"
 
 /**
- * Compact form of platform records, in which balancers keep and pass on what the platform tells:
- * one byte for the form's version, the server's start where there is one, and a msgpack body. A
- * platform's adapter writes it once; it takes a small part of the platform's own text.
+ * Compact encoding of platform records, in which balancers store and relay the platform's items:
+ * one format byte, the start time of the backend if there is one, and a msgpack body. The platform
+ * adapter encodes an item once; the result is a fraction of the size of the platform's own text.
  */
 namespace lugfork {
 
-/** @param record what the platform's item says, or why it can't be read. */
+/** @param record the decoded item, or the reason for which it can't be decoded. */
 std::string encodeRecord(const Result<PlatformRecord, RecordProblem>& record);
 
 /**
- * Takes the time of the server's start out of a compact record. What is left has the form that
- * balancers without knowledge of starts read.
- * @return the time [Unix ms]; 0 where the record holds none.
+ * Removes the start time of the backend from a compact record. The rest has the format that
+ * balancers without support for start times can decode.
+ * @return the start time [Unix ms]; 0 if the record has none.
  */
 std::uint64_t extractStartTime(std::string& value);
 
-/** Puts a start [Unix ms] that extractStartTime gave back into the record; 0 changes nothing. */
+/** Inserts a start time [Unix ms] that extractStartTime returned; 0 changes nothing. */
 void insertStartTime(std::uint64_t started_ms, std::string& value);
 
-/** Reads what encodeRecord wrote; a server's name is the end of its key. */
+/** Decodes records that encodeRecord encoded; the name of a backend is the last part of its key. */
 class CompactRecordDecoder : public RecordDecoder {
  public:
   Result<PlatformRecord, RecordProblem> decode(const std::string& key,
--- a/src/wire/view_transfer_codec.h
+++ b/src/wire/view_transfer_codec.h
@@ -12,39 +12,39 @@
 #include "wire/evidence_messages.h"
 
 /**
- * Datagrams in which balancers hand each other their views: a msgpack body and behind it a tag over
- * the body (BLAKE2b, 16 bytes) under a key that all balancers of a fleet share. A view or a set of
- * changes is one compressed body (LZ4), cut into parts that fit a datagram.
+ * Datagrams that transfer views between balancers. A datagram is a msgpack body followed by an
+ * authentication tag (keyed BLAKE2b, 16 bytes) under a key that all balancers of a fleet share. A
+ * view or a set of changes is one LZ4-compressed body, split into parts that each fit a datagram.
  */
 namespace lugfork {
 
 inline constexpr std::size_t kPeerKeyBytes = 32;
 using PeerKey = std::array<std::uint8_t, kPeerKeyBytes>;
 
-/** Bytes of a body in one part, so that no link has to cut a datagram. */
+/** Body bytes in one part [bytes]; keeps a datagram below the MTU, so that no link fragments it. */
 inline constexpr std::uint32_t kPartBytes = 1200;
-/** Parts that one request can ask for: the bits of its mask. */
+/** Maximum number of parts in one request: the width of its bit mask. */
 inline constexpr std::uint32_t kMaxPartsPerRequest = 32;
 inline constexpr std::uint32_t kAllParts = 0xffffffff;
-/** Largest compressed body: 14,000 servers take a fifth of it. */
+/** Maximum size of a compressed body [bytes]; a view of 14,000 backends takes a fifth of it. */
 inline constexpr std::uint32_t kMaxBodyBytes = 4 * 1024 * 1024;
-/** Balancers in one list, so that the list fits a datagram. */
+/** Maximum number of balancers in one list, so that the list fits a datagram. */
 inline constexpr std::size_t kMaxPeersPerMessage = 100;
 
-/** Asks for parts of what a view holds beyond a revision. */
+/** Requests parts of the changes of a view after a revision. */
 struct ViewRequest {
-  /** Chosen by who asks; all answers repeat it. */
+  /** Request id, assigned by the requester and repeated in all replies. */
   std::uint64_t request = 0;
-  /** Control address of who asks. */
+  /** Control address of the requester. */
   Endpoint from;
-  /** 0 for the whole view. */
+  /** 0 for the full view. */
   Revision after = 0;
-  /** Body of which parts are missing; 0 in a first request. */
+  /** Hash of the body whose parts are missing; 0 in the first request. */
   std::uint64_t body_hash = 0;
   std::uint32_t first_part = 0;
-  /** Bit n stands for part first_part + n. */
+  /** Bit mask of the requested parts: bit n is part first_part + n. */
   std::uint32_t parts = kAllParts;
-  /** Link of who asks. */
+  /** Link class of the requester. */
   LinkClass link = 0;
   auto fields() { return std::tie(request, from, after, body_hash, first_part, parts, link); }
 };
@@ -53,7 +53,7 @@
 struct ViewPart {
   std::uint64_t request = 0;
   ViewStatus status;
-  /** XXH3 of the compressed body: tells bodies apart and checks what was put together. */
+  /** XXH3 of the compressed body: identifies it and verifies the reassembled body. */
   std::uint64_t body_hash = 0;
   std::uint32_t body_bytes = 0;
   std::uint32_t part = 0;
@@ -61,18 +61,18 @@
   auto fields() { return std::tie(request, status, body_hash, body_bytes, part, bytes); }
 };
 
-/** The view is not told, or not now. */
+/** The view is not sent, or not yet. */
 struct ViewRefusal {
   std::uint64_t request = 0;
   ViewStatus status;
-  /** The request is kept and answered as soon as there is a view; no other answer comes now. */
+  /** The request is queued and answered once a view is available; no other reply is sent before. */
   bool is_queued = false;
-  /** Balancers that may be asked instead. */
+  /** Balancers that can be asked instead. */
   std::vector<Endpoint> alternatives;
   auto fields() { return std::tie(request, status, is_queued, alternatives); }
 };
 
-/** Shows who asks, and asks which balancers are known. */
+/** Announces the sender and requests the balancers that the receiver knows. */
 struct PeersRequest {
   std::uint64_t request = 0;
   KnownPeer from;
@@ -88,7 +88,7 @@
 using ViewMessage = std::variant<ViewRequest, ViewPart, ViewRefusal, PeersRequest, PeersReply,
                                  EvidenceReport, EvidenceDigest>;
 
-/** What is compressed and cut into parts. */
+/** Content of a body before compression and splitting. */
 struct ViewBody {
   std::vector<ItemChange> changes;
   Revision at = 0;
@@ -96,24 +96,24 @@
   std::vector<KnownPeer> peers;
 };
 
-/** @return the key for these datagrams, derived from the fleet's secret. */
+/** @return the authentication key of these datagrams, derived from the fleet secret. */
 PeerKey derivePeerKey(std::span<const std::uint8_t> fleet_secret);
 
 Bytes encodeViewMessage(const ViewMessage& message, const PeerKey& key);
 
-/** Reads a datagram. @return Malformed where it is of another form or its tag is wrong. */
+/** Decodes a datagram. @return the message, or the error; Malformed if the tag is wrong. */
 Result<ViewMessage, CodecError> decodeViewMessage(std::span<const std::uint8_t> datagram,
                                                   const PeerKey& key);
 
 Bytes encodeViewBody(const ViewBody& body);
 
-/** Reads what encodeViewBody wrote. */
+/** Decodes a body that encodeViewBody encoded. */
 Result<ViewBody, CodecError> decodeViewBody(const Bytes& bytes);
 
-/** @return the hash by which a compressed body is known; never 0. */
+/** @return the hash that identifies a compressed body; never 0. */
 std::uint64_t hashBody(const Bytes& body);
 
-/** @return the number of parts of a compressed body. */
+/** @return the number of parts of a compressed body of this size [bytes]. */
 constexpr std::uint32_t partCount(std::uint32_t body_bytes) {
   return (body_bytes + kPartBytes - 1) / kPartBytes;
 }
--- a/tests/platform/fake_store.h
+++ b/tests/platform/fake_store.h
@@ -13,7 +13,7 @@
 
 namespace lugfork::platform {
 
-/** Stand-in of the platform's store, made from its page: items, pages, watches, and failures. */
+/** Fake of the platform's store, after its specification: items, pages, watches and failures. */
 class FakeStore {
  public:
   FakeStore()
@@ -44,25 +44,25 @@
     changed_.notify_all();
   }
 
-  /** Forgets the changes so far: watches from before get 410. */
+  /** Deletes the change history; watches from an earlier revision get 410. */
   void compactHistory() {
     const std::lock_guard lock(mutex_);
-    history_from_ = revision_ + 1;
+    history_start_ = revision_ + 1;
     history_.clear();
     changed_.notify_all();
   }
 
-  /** Every call gets this status; 200 ends that. */
+  /** Makes every request fail with a status; 200 ends the failure. */
   void failWith(int status) {
     const std::lock_guard lock(mutex_);
     status_ = status;
     changed_.notify_all();
   }
 
-  /** Every body is cut to its first half. */
-  void truncateResponses(bool cut) {
+  /** Sets whether every response body is truncated to its first half. */
+  void truncateResponses(bool truncates) {
     const std::lock_guard lock(mutex_);
-    cut_ = cut;
+    truncates_ = truncates;
   }
 
   int calls() const {
@@ -71,13 +71,13 @@
   }
 
  private:
-  struct Stored {
+  struct StoredItem {
     std::string value;
     std::uint64_t revision = 0;
     std::uint64_t created = 0;
   };
 
-  static constexpr std::size_t kPageItems = 2;
+  static constexpr std::size_t kItemsPerPage = 2;
 
   static std::string base64(const std::string& text) {
     std::string encoded(sodium_base64_ENCODED_LEN(text.size(), sodium_base64_VARIANT_ORIGINAL),
@@ -89,7 +89,7 @@
     return encoded;
   }
 
-  static nlohmann::json itemJson(const std::string& key, const Stored& item) {
+  static nlohmann::json itemJson(const std::string& key, const StoredItem& item) {
     return {{"key", key},
             {"value", base64(item.value)},
             {"revision", item.revision},
@@ -97,7 +97,7 @@
             {"lease", 0}};
   }
 
-  static std::string parameter(const HttpRequest& request, const std::string& name) {
+  static std::string queryParameter(const HttpRequest& request, const std::string& name) {
     const auto found = request.query.find(name);
     return found == request.query.end() ? "" : found->second;
   }
@@ -119,21 +119,21 @@
     } else {
       response.status = 404;
     }
-    if (cut_) {
+    if (truncates_) {
       response.body.resize(response.body.size() / 2);
     }
     return response;
   }
 
   nlohmann::json range(const HttpRequest& request) const {
-    const std::string prefix = parameter(request, "path_prefix");
-    const std::string after = parameter(request, "after");
+    const std::string prefix = queryParameter(request, "path_prefix");
+    const std::string after = queryParameter(request, "after");
     nlohmann::json body = {{"items", nlohmann::json::array()}, {"more", false}, {"at", revision_}};
     for (const auto& [key, item] : items_) {
       if (!key.starts_with(prefix) || (!after.empty() && key <= after)) {
         continue;
       }
-      if (body["items"].size() == kPageItems) {
+      if (body["items"].size() == kItemsPerPage) {
         body["more"] = true;
         break;
       }
@@ -144,13 +144,13 @@
 
   std::optional<nlohmann::json> watch(const HttpRequest& request,
                                       std::unique_lock<std::mutex>& lock) {
-    const std::string prefix = parameter(request, "path_prefix");
-    const std::uint64_t after = std::stoull(parameter(request, "after"));
-    const std::chrono::milliseconds wait(std::stoul(parameter(request, "wait_ms")));
+    const std::string prefix = queryParameter(request, "path_prefix");
+    const std::uint64_t after = std::stoull(queryParameter(request, "after"));
+    const std::chrono::milliseconds wait(std::stoul(queryParameter(request, "wait_ms")));
     changed_.wait_for(lock, wait, [&] {
-      return closed_ || status_ != 200 || revision_ > after || after + 1 < history_from_;
+      return closed_ || status_ != 200 || revision_ > after || after + 1 < history_start_;
     });
-    if (after + 1 < history_from_) {
+    if (after + 1 < history_start_) {
       return std::nullopt;
     }
     nlohmann::json body = {{"events", nlohmann::json::array()}, {"at", revision_}};
@@ -164,14 +164,14 @@
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  std::map<std::string, Stored> items_;
-  /** Every change as it was made, by its revision. */
+  std::map<std::string, StoredItem> items_;
+  /** Change events by revision. */
   std::map<std::uint64_t, nlohmann::json> history_;
   std::uint64_t revision_ = 0;
-  std::uint64_t history_from_ = 0;
+  std::uint64_t history_start_ = 0;
   int status_ = 200;
   int calls_ = 0;
-  bool cut_ = false;
+  bool truncates_ = false;
   bool closed_ = false;
   HttpServer server_;
 };
--- a/tests/platform/packet_codec_test.cc
+++ b/tests/platform/packet_codec_test.cc
@@ -8,19 +8,19 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-/** The page's opening packet, from 100.64.0.7:40001 to 198.18.0.1:443. */
+/** Opening packet of the protocol specification, from 100.64.0.7:40001 to 198.18.0.1:443. */
 const Bytes kOpening = {0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x64, 0x40, 0x00, 0x07, 0x01,
                         0xbb, 0xc6, 0x12, 0x00, 0x01, 0x9c, 0x41, 0x11, 0x22, 0x33, 0x44,
                         0x00, 0x00, 0x00, 0x00, 0x04, 0x00, 0xa1, 0xb2, 0xc3, 0xd5};
-/** The page's reset of that flow. */
+/** Reset of that flow in the specification. */
 const Bytes kReset = {0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0xc6, 0x12, 0x00, 0x01, 0x9c,
                       0x41, 0x64, 0x40, 0x00, 0x07, 0x01, 0xbb, 0x00, 0x00, 0x00, 0x00,
                       0x00, 0x00, 0x00, 0x00, 0x40, 0x00, 0x00, 0x00, 0x00, 0x00};
-constexpr std::size_t kFlagsAt = 26;
+constexpr std::size_t kFlagsOffset = 26;
 
 const PlatformPacketCodec kCodec;
 
-TEST_CASE("the page's opening packet is read", "[packet_codec]") {
+TEST_CASE("the opening packet of the specification is decoded", "[packet_codec]") {
   const auto packet = kCodec.decode(kOpening);
   REQUIRE(packet);
   CHECK(packet.value().caller == Endpoint{0x64400007, 40001});
@@ -31,22 +31,23 @@
   CHECK(packet.value().payload_bytes == 0);
 }
 
-TEST_CASE("the page's reset is written", "[packet_codec]") {
+TEST_CASE("the reset of the specification is encoded", "[packet_codec]") {
   CHECK(kCodec.encodeReset(kCodec.decode(kOpening).value()) == kReset);
 }
 
-TEST_CASE("a reset of an open flow has the sequence that the caller expects", "[packet_codec]") {
+TEST_CASE("a reset of an open flow has the sequence number that the client expects",
+          "[packet_codec]") {
   Bytes data = kOpening;
-  data[kFlagsAt] = 2;
+  data[kFlagsOffset] = 2;
   data[22] = 0x0a;
   data[25] = 0x0b;
   const Bytes reset = kCodec.encodeReset(kCodec.decode(data).value());
   CHECK(Bytes(reset.begin() + 18, reset.begin() + 22) == Bytes{0x0a, 0, 0, 0x0b});
 }
 
-TEST_CASE("a packet goes to the server unchanged but for its token", "[packet_codec]") {
-  rc::prop("only the echo differs, behind the server id", [](std::uint64_t server_id,
-                                                             std::uint32_t token) {
+TEST_CASE("a packet is forwarded to the backend unchanged except for its token", "[packet_codec]") {
+  rc::prop("after the backend id only the echo field differs", [](std::uint64_t server_id,
+                                                                  std::uint32_t token) {
     const auto size = *rc::gen::inRange<std::size_t>(0, kMaxDataBytes + 1);
     Bytes packet =
         *rc::gen::container<Bytes>(kHeaderBytes + size, rc::gen::arbitrary<std::uint8_t>());
@@ -65,35 +66,35 @@
   });
 }
 
-TEST_CASE("datagrams that are no packets are told apart", "[packet_codec]") {
+TEST_CASE("datagrams that are not packets are rejected with the cause", "[packet_codec]") {
   Bytes bytes = kOpening;
   PacketError expected = PacketError::TooShort;
   SECTION("empty") {
     bytes.clear();
   }
-  SECTION("cut in the head") {
+  SECTION("truncated header") {
     bytes.pop_back();
   }
-  SECTION("more data than stated") {
+  SECTION("more data than the length field") {
     bytes.push_back(1);
     expected = PacketError::WrongLength;
   }
-  SECTION("less data than stated") {
+  SECTION("less data than the length field") {
     bytes[1] = 5;
     expected = PacketError::WrongLength;
   }
-  SECTION("too much data") {
+  SECTION("more data than the maximum") {
     bytes.resize(kHeaderBytes + kMaxDataBytes + 1);
     bytes[0] = static_cast<std::uint8_t>((kMaxDataBytes + 1) >> 8);
     bytes[1] = static_cast<std::uint8_t>((kMaxDataBytes + 1) & 0xff);
     expected = PacketError::WrongLength;
   }
   SECTION("unknown flags") {
-    bytes[kFlagsAt] = 4 | 1;
+    bytes[kFlagsOffset] = 4 | 1;
     expected = PacketError::UnknownFlags;
   }
-  SECTION("a server's answer to an opening") {
-    bytes[kFlagsAt] = 4 | 2;
+  SECTION("a backend's answer to an opening") {
+    bytes[kFlagsOffset] = 4 | 2;
     expected = PacketError::NotFromCaller;
   }
   const auto packet = kCodec.decode(bytes);
@@ -101,8 +102,9 @@
   CHECK(packet.error() == expected);
 }
 
-TEST_CASE("no datagram makes the codec fail otherwise", "[packet_codec]") {
-  rc::prop("decode takes any bytes", [](const Bytes& bytes) { (void)kCodec.decode(bytes); });
+TEST_CASE("arbitrary bytes are decoded or rejected without another failure", "[packet_codec]") {
+  rc::prop("decode accepts arbitrary bytes",
+           [](const Bytes& bytes) { (void)kCodec.decode(bytes); });
 }
 
 }  // namespace
--- a/tests/platform/packetd_fixture.h
+++ b/tests/platform/packetd_fixture.h
@@ -21,7 +21,7 @@
 #include "platform/reserved_port.h"
 #include "runtime/http_client.h"
 
-/** lugfork-packetd as a process on loopback, and the sockets of its callers and servers. */
+/** lugfork-packetd as a process on loopback, and sockets of its clients and backends. */
 namespace lugfork::platform {
 using Clock = std::chrono::steady_clock;
 using Bytes = std::vector<std::uint8_t>;
@@ -38,15 +38,15 @@
   return name;
 }
 
-/** UDP socket of a test; receives with a time limit. */
+/** UDP socket of a test; receives with a timeout of 1 s. */
 class TestSocket {
  public:
   explicit TestSocket(std::uint32_t address = kLoopback, std::uint16_t port = 0)
       : socket_(::socket(AF_INET, SOCK_DGRAM, 0)) {
     const sockaddr_in name = toSockaddr({address, port});
     REQUIRE(::bind(socket_, reinterpret_cast<const sockaddr*>(&name), sizeof(name)) == 0);
-    const timeval limit{1, 0};
-    setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
+    const timeval timeout{1, 0};
+    setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
   }
   ~TestSocket() { ::close(socket_); }
   TestSocket(const TestSocket&) = delete;
@@ -69,7 +69,7 @@
 
   Bytes receive() { return receiveFrom().first; }
 
-  /** @return a datagram and its sender; no bytes where none came in time. */
+  /** @return a datagram and its sender; no bytes on timeout. */
   std::pair<Bytes, Endpoint> receiveFrom() {
     Bytes bytes(2048);
     sockaddr_in from{};
@@ -93,15 +93,15 @@
   return path;
 }
 
-/** One daemon; killed at the end of the test if it still runs. */
+/** A daemon process; killed in the destructor if it still runs. */
 class Packetd {
  public:
-  /** Settings of a daemon that other balancers can follow. */
+  /** Settings of a daemon with peers. */
   struct PeerSettings {
     std::uint32_t address = kLoopback;
-    /** The same for all balancers; 0 to follow nobody. */
+    /** Peer port, the same for all balancers; 0 for a daemon that follows no other. */
     std::uint16_t peer_port = 0;
-    /** Where callers' packets come; unset for any free port. */
+    /** Listening address for client packets; unset for any free port. */
     Endpoint packet_address = {};
     std::string zone = "lac";
   };
@@ -143,15 +143,15 @@
   Packetd(const Packetd&) = delete;
   Packetd& operator=(const Packetd&) = delete;
 
-  /** Starts another copy of the program from now on. */
+  /** Sets the path of the program for later starts. */
   void setProgram(const std::string& program) { program_ = program; }
 
-  /** @param flags besides the settings file. */
+  /** @param flags command-line flags in addition to the settings file. */
   void start(const std::vector<std::string>& flags = {}) { startWith(settings_file_, flags); }
 
   /**
-   * Starts with a settings file of the caller's. Returns once the program has taken the place of
-   * the test's own copy.
+   * Starts the daemon with another settings file. Returns once the child process has executed the
+   * program.
    */
   void startWith(const std::string& settings_file, const std::vector<std::string>& flags = {}) {
     std::vector<const char*> arguments{program_.c_str(), "--settings", settings_file.c_str()};
@@ -159,12 +159,12 @@
       arguments.push_back(flag.c_str());
     }
     arguments.push_back(nullptr);
-    std::array<int, 2> until_exec{};
-    REQUIRE(::pipe2(until_exec.data(), O_CLOEXEC) == 0);
+    std::array<int, 2> exec_pipe{};
+    REQUIRE(::pipe2(exec_pipe.data(), O_CLOEXEC) == 0);
     const std::lock_guard lock(mutex_);
     pid_ = ::fork();
     if (pid_ == 0) {
-      // Handlers of the test itself would be seen, and run, as the program's.
+      // Otherwise the test's own signal handlers would run, and be seen in /proc, before execv.
       for (const int number : {SIGTERM, SIGINT, SIGHUP}) {
         ::signal(number, SIG_DFL);
       }
@@ -173,31 +173,31 @@
       ::execv(program_.c_str(), const_cast<char* const*>(arguments.data()));
       _exit(127);
     }
-    ::close(until_exec[1]);
+    ::close(exec_pipe[1]);
     char none = 0;
-    while (::read(until_exec[0], &none, 1) < 0 && errno == EINTR) {
+    while (::read(exec_pipe[0], &none, 1) < 0 && errno == EINTR) {
     }
-    ::close(until_exec[0]);
+    ::close(exec_pipe[0]);
   }
 
   /**
-   * @return whether the process can't be ended by a signal's default: it blocks the signal or has a
-   * handler, as from its first line on, or it has ended before.
+   * @return true if the default action of a signal can't end the process: it blocks the signal or
+   * has a handler, which holds from the start of the program, or it has already ended.
    */
   bool blocksOrHandles(int number) const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     const std::uint64_t bit = std::uint64_t{1} << (number - 1);
-    bool holds = false;
+    bool is_protected = false;
     for (std::string line; std::getline(status, line);) {
       const bool has_ended = line.starts_with("State:\tZ");
       const bool is_mask = line.starts_with("SigBlk:") || line.starts_with("SigCgt:");
-      holds =
-          holds || has_ended || (is_mask && (std::stoull(line.substr(7), nullptr, 16) & bit) != 0);
+      is_protected = is_protected || has_ended ||
+                     (is_mask && (std::stoull(line.substr(7), nullptr, 16) & bit) != 0);
     }
-    return holds;
+    return is_protected;
   }
 
-  /** To a process that has ended nothing is sent: no process and the test's own group share 0. */
+  /** Sends a signal unless the process has ended: pid_ is then 0, which means the test's group. */
   void signal(int number) const {
     const std::lock_guard lock(mutex_);
     if (pid_ > 0) {
@@ -205,24 +205,24 @@
     }
   }
 
-  /** @return the exit code, or minus the number of the signal that ended the process. */
+  /** Waits for the end. @return the exit code, or the negated number of the fatal signal. */
   int wait() {
     siginfo_t ended{};
     ::waitid(P_PID, static_cast<id_t>(pid_), &ended, WEXITED | WNOWAIT);
     const std::lock_guard lock(mutex_);
     int status = 0;
     ::waitpid(pid_, &status, 0);
-    return onEnd(status);
+    return exitResult(status);
   }
 
-  /** @return what wait() would, or nothing while the process runs. */
+  /** @return the same as wait(), or nothing while the process runs. */
   std::optional<int> tryWait() {
     const std::lock_guard lock(mutex_);
     int status = 0;
     if (::waitpid(pid_, &status, WNOHANG) != pid_) {
       return std::nullopt;
     }
-    return onEnd(status);
+    return exitResult(status);
   }
 
   int readyStatus() const {
@@ -255,8 +255,8 @@
   }
 
   static bool eventually(const std::function<bool()>& condition) {
-    const auto limit = Clock::now() + kWaitTimeout;
-    while (Clock::now() < limit) {
+    const auto deadline = Clock::now() + kWaitTimeout;
+    while (Clock::now() < deadline) {
       if (condition()) {
         return true;
       }
@@ -265,7 +265,7 @@
     return false;
   }
 
-  /** @return the most memory that the running process has used; 0 where none runs [KB]. */
+  /** @return the peak resident memory of the running process [KB]; 0 if none is running. */
   std::size_t peakMemoryKb() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(status, line);) {
@@ -282,12 +282,12 @@
   const std::string& settingsFile() const { return settings_file_; }
 
  private:
-  int onEnd(int status) {
+  int exitResult(int status) {
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
 
-  /** Held until the daemon is gone, which may start later and more than once. */
+  /** Reserved for the lifetime of this object: the daemon may start later and more than once. */
   const ReservedPort ready_port_;
   const ReservedPort control_port_;
   const ReservedPort packet_port_;
@@ -297,7 +297,7 @@
   std::string program_ = LUGFORK_PACKETD;
   std::string settings_file_;
   std::string log_file_;
-  /** Other threads send signals too: not to a process whose number is free again. */
+  /** Guards pid_: other threads send signals, which must not reach a process with a reused id. */
   mutable std::mutex mutex_;
   pid_t pid_ = 0;
 };
--- a/tests/platform/packetd_start_test.cc
+++ b/tests/platform/packetd_start_test.cc
@@ -1,4 +1,4 @@
-/** The first milliseconds of lugfork-packetd: signals and the order of its start. */
+/** Start of lugfork-packetd: signals in its first milliseconds, order of its initialization. */
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -11,7 +11,7 @@
 namespace lugfork::platform {
 namespace {
 
-/** Settings file that a daemon waits for: a pipe with a name. */
+/** Settings file on which a daemon blocks while reading: a named pipe. */
 class BlockingSettingsFile {
  public:
   BlockingSettingsFile() : path_(temporaryFile("")) {
@@ -22,19 +22,19 @@
   BlockingSettingsFile(const BlockingSettingsFile&) = delete;
   BlockingSettingsFile& operator=(const BlockingSettingsFile&) = delete;
 
-  /** Waits until a daemon's main() reads the file. */
+  /** Waits until main() of a daemon opens the file. */
   void waitForReader() { writer_ = ::open(path_.c_str(), O_WRONLY); }
 
-  void give(const std::string& text) {
+  void write(const std::string& text) {
     const auto size = ::write(writer_, text.data(), text.size());
     CHECK(size == static_cast<ssize_t>(text.size()));
     ::close(writer_);
   }
 
-  /** From now on who opens the file finds a usual one. */
-  void replaceBy(const std::string& text) const {
-    const std::string usual = temporaryFile(text);
-    CHECK(std::rename(usual.c_str(), path_.c_str()) == 0);
+  /** Replaces the pipe by a regular file, which later opens find. */
+  void replaceWith(const std::string& text) const {
+    const std::string regular_file = temporaryFile(text);
+    CHECK(std::rename(regular_file.c_str(), path_.c_str()) == 0);
   }
 
   const std::string& path() const { return path_; }
@@ -44,56 +44,59 @@
   int writer_ = -1;
 };
 
-std::string textOf(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ifstream file(path);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-TEST_CASE("a daemon told to stop while it starts ends with its planned stop", "[packetd]") {
+TEST_CASE("a daemon that gets a stop signal during its start ends with a planned stop",
+          "[packetd]") {
   FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   const int signal = GENERATE(SIGTERM, SIGINT);
   Packetd daemon(store.address());
-  const std::string settings = textOf(daemon.settingsFile());
-  BlockingSettingsFile held;
-  daemon.startWith(held.path());
-  held.waitForReader();
+  const std::string settings = readFile(daemon.settingsFile());
+  BlockingSettingsFile blocking_file;
+  daemon.startWith(blocking_file.path());
+  blocking_file.waitForReader();
   daemon.signal(signal);
-  held.give(settings);
+  blocking_file.write(settings);
   CHECK(daemon.wait() == 0);
   const std::string log = daemon.log();
   CHECK(log.find("\"event\":\"leaving\"") != std::string::npos);
   CHECK(log.find("\"event\":\"stopped\"") != std::string::npos);
 }
 
-TEST_CASE("settings read again while a daemon starts do not end it", "[packetd]") {
+TEST_CASE("SIGHUP during the start of a daemon reloads the settings and doesn't end it",
+          "[packetd]") {
   FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   Packetd daemon(store.address());
-  const std::string settings = textOf(daemon.settingsFile());
-  BlockingSettingsFile held;
-  daemon.startWith(held.path());
-  held.waitForReader();
+  const std::string settings = readFile(daemon.settingsFile());
+  BlockingSettingsFile blocking_file;
+  daemon.startWith(blocking_file.path());
+  blocking_file.waitForReader();
   daemon.signal(SIGHUP);
-  held.replaceBy(settings);
-  held.give(settings);
+  blocking_file.replaceWith(settings);
+  blocking_file.write(settings);
   CHECK(daemon.waitForReady(200));
   CHECK(Packetd::eventually(
       [&] { return daemon.log().find("\"event\":\"reloaded\"") != std::string::npos; }));
 }
 
-TEST_CASE("daemons told to stop at any moment of main() end with their planned stop", "[packetd]") {
+TEST_CASE("a daemon that gets SIGTERM at any point of main() ends with a planned stop",
+          "[packetd]") {
   FakeStore store;
   store.put("op/config", R"({"version":7,"routes":[]})");
   constexpr int kDaemons = 12;
   constexpr std::chrono::microseconds kStep{400};
   for (int index = 0; index < kDaemons; ++index) {
     Packetd daemon(store.address());
-    const std::string settings = textOf(daemon.settingsFile());
-    BlockingSettingsFile held;
-    daemon.startWith(held.path());
-    held.waitForReader();
-    held.give(settings);
+    const std::string settings = readFile(daemon.settingsFile());
+    BlockingSettingsFile blocking_file;
+    daemon.startWith(blocking_file.path());
+    blocking_file.waitForReader();
+    blocking_file.write(settings);
     std::this_thread::sleep_for(index * kStep);
     daemon.signal(SIGTERM);
     INFO("after " << index * kStep.count() << " us");
@@ -102,7 +105,7 @@
   }
 }
 
-TEST_CASE("the log's lines are whole and of one form before and after its appender is loaded",
+TEST_CASE("log lines are complete and have the same format before and after the appender is loaded",
           "[packetd]") {
   FakeStore store;
   Packetd daemon(store.address());
@@ -125,7 +128,7 @@
   CHECK(count > 2);
 }
 
-TEST_CASE("a daemon whose appender is missing says so and logs on", "[packetd]") {
+TEST_CASE("a daemon without its log appender reports that and continues to log", "[packetd]") {
   FakeStore store;
   Packetd daemon(store.address());
   std::ofstream(daemon.settingsFile(), std::ios::app) << "log-appender-delay = 0\n";
@@ -143,15 +146,15 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("the metrics tell processor time and the time until the first packet", "[packetd]") {
+TEST_CASE("metrics include CPU time and the time until the first packet", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   store.put(
       "op/config",
       R"({"version":7,"routes":[{"host":"198.18.0.1","path_prefix":"/443/","service":"s"}]})");
   store.put(
       "servers/i-0badcafe01",
-      R"({"service":"s","address":")" + toString(server.address()) +
+      R"({"service":"s","address":")" + toString(backend.address()) +
           R"(","zone":"lac","version":"v1","capacity":2,"state":"ready","warmup_left_ms":0,"seq":1})");
   Packetd daemon(store.address());
   daemon.start();
@@ -163,7 +166,7 @@
   client.send(daemon.packetAddress(),
               {0,    0,    0,    0,    0,    0,    127, 0, 0, 1, 1, 0xbb, 0xc6, 0x12, 0,    1,
                0x9c, 0x41, 0x11, 0x22, 0x33, 0x44, 0,   0, 0, 0, 4, 0,    0xa1, 0xb2, 0xc3, 0xd5});
-  CHECK_FALSE(server.receive().empty());
+  CHECK_FALSE(backend.receive().empty());
   CHECK(daemon.waitForMetric(first_packet));
 }
 
--- a/tests/platform/packetd_test.cc
+++ b/tests/platform/packetd_test.cc
@@ -1,4 +1,4 @@
-/** lugfork-packetd as a process, against a stand-in of the store, on loopback. */
+/** lugfork-packetd as a process on loopback, with a fake store. */
 
 #include <catch2/catch.hpp>
 
@@ -10,14 +10,14 @@
 const std::string kRoutes =
     R"({"version":7,"routes":[{"host":"198.18.0.1","path_prefix":"/443/","service":"s"}]})";
 
-std::string serverEntry(Endpoint address, const std::string& state = "ready",
-                        const std::string& zone = "lac") {
+std::string backendEntry(Endpoint address, const std::string& state = "ready",
+                         const std::string& zone = "lac") {
   return R"({"service":"s","address":")" + toString(address) + R"(","zone":")" + zone +
          R"(","version":"v1","capacity":2,"state":")" + state + R"(","warmup_left_ms":0,"seq":1})";
 }
 
-/** The opening of a flow from 127.0.0.1 to a port of 198.18.0.1. */
-Bytes opening(std::uint16_t caller_port, std::uint16_t service_port = 443) {
+/** @return the opening packet of a flow from 127.0.0.1 to a port of 198.18.0.1. */
+Bytes makeOpening(std::uint16_t client_port, std::uint16_t service_port = 443) {
   return {0,
           0,
           0,
@@ -34,8 +34,8 @@
           0x12,
           0,
           1,
-          static_cast<std::uint8_t>(caller_port >> 8),
-          static_cast<std::uint8_t>(caller_port & 0xff),
+          static_cast<std::uint8_t>(client_port >> 8),
+          static_cast<std::uint8_t>(client_port & 0xff),
           0x11,
           0x22,
           0x33,
@@ -52,158 +52,158 @@
           0xd5};
 }
 
-constexpr std::size_t kPrefixBytes = 8;
-constexpr std::size_t kFlagsAt = 26;
+constexpr std::size_t kIdPrefixBytes = 8;
+constexpr std::size_t kFlagsOffset = 26;
 
-TEST_CASE("a flow goes to its server, with the token that the server got", "[packetd]") {
+TEST_CASE("packets of a flow are forwarded to the backend in its token", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   Packetd daemon(store.address());
   daemon.start();
   TestSocket client;
-  // Comes before the node knows anything; it waits in the socket.
+  // Arrives before the node has a view, and is queued in the socket.
   CHECK(Packetd::eventually([&] { return daemon.readyStatus() == 503; }));
-  client.send(daemon.packetAddress(), opening(40001));
+  client.send(daemon.packetAddress(), makeOpening(40001));
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   REQUIRE(daemon.waitForReady(200));
-  Bytes first = server.receive();
+  Bytes first = backend.receive();
   if (first.empty()) {
-    // The route may have come before the server: the client sends a copy.
-    client.send(daemon.packetAddress(), opening(40001));
-    first = server.receive();
+    // The route may have arrived before the backend: the client retransmits.
+    client.send(daemon.packetAddress(), makeOpening(40001));
+    first = backend.receive();
   }
-  REQUIRE(first.size() == kPrefixBytes + 32);
+  REQUIRE(first.size() == kIdPrefixBytes + 32);
   CHECK(Bytes(first.begin(), first.begin() + 8) == Bytes{0, 0, 0, 0x0b, 0xad, 0xca, 0xfe, 0x01});
 
-  Bytes data(first.begin() + kPrefixBytes, first.end());
-  data[kFlagsAt] = 2;
+  Bytes data(first.begin() + kIdPrefixBytes, first.end());
+  data[kFlagsOffset] = 2;
   client.send(daemon.packetAddress(), data);
   Bytes expected = first;
-  std::copy(data.begin(), data.end(), expected.begin() + kPrefixBytes);
-  CHECK(server.receive() == expected);
+  std::copy(data.begin(), data.end(), expected.begin() + kIdPrefixBytes);
+  CHECK(backend.receive() == expected);
 }
 
-/** @return a packet of the open flow that a server got, with content. */
-Bytes dataOf(const Bytes& forwarded) {
-  Bytes data(forwarded.begin() + kPrefixBytes, forwarded.end());
-  data[kFlagsAt] = 2;
+/** @return a data packet of the flow of a forwarded opening. */
+Bytes makeData(const Bytes& forwarded) {
+  Bytes data(forwarded.begin() + kIdPrefixBytes, forwarded.end());
+  data[kFlagsOffset] = 2;
   return data;
 }
 
-TEST_CASE("a packet of an open flow does not wait behind openings", "[packetd]") {
-  constexpr int kOpenings = 300;
+TEST_CASE("a packet of an open flow is not queued behind openings", "[packetd]") {
+  constexpr int kOpeningCount = 300;
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   Packetd daemon(store.address());
   daemon.start();
   REQUIRE(daemon.waitForReady(200));
   TestSocket client;
-  client.send(daemon.packetAddress(), opening(40001));
-  const Bytes first = server.receive();
-  REQUIRE(first.size() == kPrefixBytes + 32);
+  client.send(daemon.packetAddress(), makeOpening(40001));
+  const Bytes first = backend.receive();
+  REQUIRE(first.size() == kIdPrefixBytes + 32);
   daemon.signal(SIGSTOP);
-  for (int count = 0; count < kOpenings; ++count) {
-    client.send(daemon.packetAddress(), opening(static_cast<std::uint16_t>(41000 + count)));
+  for (int count = 0; count < kOpeningCount; ++count) {
+    client.send(daemon.packetAddress(), makeOpening(static_cast<std::uint16_t>(41000 + count)));
   }
-  client.send(daemon.packetAddress(), dataOf(first));
+  client.send(daemon.packetAddress(), makeData(first));
   daemon.signal(SIGCONT);
-  int openings_before = 0;
-  Bytes next = server.receive();
-  while (next.size() == kPrefixBytes + 32 && next[kPrefixBytes + kFlagsAt] != 2) {
-    ++openings_before;
-    next = server.receive();
+  int openings_ahead = 0;
+  Bytes next = backend.receive();
+  while (next.size() == kIdPrefixBytes + 32 && next[kIdPrefixBytes + kFlagsOffset] != 2) {
+    ++openings_ahead;
+    next = backend.receive();
   }
-  REQUIRE(next.size() == kPrefixBytes + 32);
-  // The first after a pause is read alone; then new flows get a share of two in each full batch.
-  CHECK(openings_before <= 1 + 2 * ((kOpenings - 1) / 32));
+  REQUIRE(next.size() == kIdPrefixBytes + 32);
+  // The first packet after a pause is read alone. Then each full batch has two openings at most.
+  CHECK(openings_ahead <= 1 + 2 * ((kOpeningCount - 1) / 32));
 }
 
-TEST_CASE("an opening that waited until its caller sent a copy is not served", "[packetd]") {
+TEST_CASE("an opening that is queued until its client has retransmitted is dropped", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   Packetd daemon(store.address());
   daemon.start();
   TestSocket client;
   REQUIRE(Packetd::eventually([&] { return daemon.readyStatus() == 503; }));
-  client.send(daemon.packetAddress(), opening(40001));
-  // The daemon has read it, without a view.
+  client.send(daemon.packetAddress(), makeOpening(40001));
+  // The daemon has read the opening, but has no view.
   REQUIRE(daemon.waitForMetric("lugfork_packets_received_total 1"));
   std::this_thread::sleep_for(std::chrono::milliseconds(250));
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   store.put("op/config", kRoutes);
   REQUIRE(daemon.waitForReady(200));
-  client.send(daemon.packetAddress(), opening(40002));
-  const Bytes served = server.receive();
-  REQUIRE(served.size() == kPrefixBytes + 32);
-  CHECK(served[kPrefixBytes + 16] == 40002 >> 8);
-  CHECK(served[kPrefixBytes + 17] == (40002 & 0xff));
+  client.send(daemon.packetAddress(), makeOpening(40002));
+  const Bytes served = backend.receive();
+  REQUIRE(served.size() == kIdPrefixBytes + 32);
+  CHECK(served[kIdPrefixBytes + 16] == 40002 >> 8);
+  CHECK(served[kIdPrefixBytes + 17] == (40002 & 0xff));
   CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="opening_outlived"} 1)"));
 }
 
-TEST_CASE("a zone out of service gets no new flow and keeps its open ones", "[packetd]") {
+TEST_CASE("a zone out of service gets no new flows and keeps its open ones", "[packetd]") {
   FakeStore store;
   TestSocket in_lac;
   TestSocket in_ariana;
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(in_lac.address(), "ready", "lac"));
+  store.put("servers/i-0badcafe01", backendEntry(in_lac.address(), "ready", "lac"));
   Packetd daemon(store.address());
   daemon.start();
   REQUIRE(daemon.waitForReady(200));
   TestSocket client;
-  client.send(daemon.packetAddress(), opening(40001));
+  client.send(daemon.packetAddress(), makeOpening(40001));
   const Bytes first = in_lac.receive();
-  REQUIRE(first.size() == kPrefixBytes + 32);
+  REQUIRE(first.size() == kIdPrefixBytes + 32);
 
-  store.put("servers/i-0badcafe02", serverEntry(in_ariana.address(), "ready", "ariana"));
+  store.put("servers/i-0badcafe02", backendEntry(in_ariana.address(), "ready", "ariana"));
   store.put("op/evacuate/lac", "{}");
   REQUIRE(daemon.waitForMetric("lugfork_zones_out_of_service 1"));
-  constexpr std::uint16_t kOpenings = 20;
-  for (std::uint16_t port = 41000; port < 41000 + kOpenings; ++port) {
-    client.send(daemon.packetAddress(), opening(port));
+  constexpr std::uint16_t kOpeningCount = 20;
+  for (std::uint16_t port = 41000; port < 41000 + kOpeningCount; ++port) {
+    client.send(daemon.packetAddress(), makeOpening(port));
   }
-  for (int count = 0; count < kOpenings; ++count) {
-    CHECK(in_ariana.receive().size() == kPrefixBytes + 32);
+  for (int count = 0; count < kOpeningCount; ++count) {
+    CHECK(in_ariana.receive().size() == kIdPrefixBytes + 32);
   }
   CHECK(
       daemon.waitForMetric(R"(lugfork_flows_placed_total{cause="none",service="s",zone="own"} 1)"));
   CHECK(daemon.waitForMetric(
       R"(lugfork_flows_placed_total{cause="capacity",service="s",zone="beyond"} 20)"));
-  Bytes data(first.begin() + kPrefixBytes, first.end());
-  data[kFlagsAt] = 2;
+  Bytes data(first.begin() + kIdPrefixBytes, first.end());
+  data[kFlagsOffset] = 2;
   client.send(daemon.packetAddress(), data);
   const Bytes next_in_lac = in_lac.receive();
-  REQUIRE(next_in_lac.size() == kPrefixBytes + 32);
-  CHECK(next_in_lac[kPrefixBytes + kFlagsAt] == 2);
+  REQUIRE(next_in_lac.size() == kIdPrefixBytes + 32);
+  CHECK(next_in_lac[kIdPrefixBytes + kFlagsOffset] == 2);
 
   store.remove("op/evacuate/lac");
   CHECK(daemon.waitForMetric("lugfork_zones_out_of_service 0"));
 }
 
-TEST_CASE("bad input is counted and changes nothing", "[packetd]") {
+TEST_CASE("invalid input is counted and has no other effect", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   Packetd daemon(store.address());
   daemon.start();
   REQUIRE(daemon.waitForReady(200));
   TestSocket client;
-  Bytes wrong_length = opening(1);
+  Bytes wrong_length = makeOpening(1);
   wrong_length[1] = 9;
-  Bytes unknown_flags = opening(1);
-  unknown_flags[kFlagsAt] = 5;
-  Bytes foreign_token = opening(1);
-  foreign_token[kFlagsAt] = 2;
+  Bytes unknown_flags = makeOpening(1);
+  unknown_flags[kFlagsOffset] = 5;
+  Bytes foreign_token = makeOpening(1);
+  foreign_token[kFlagsOffset] = 2;
   client.send(daemon.packetAddress(), {1, 2, 3});
   client.send(daemon.packetAddress(), wrong_length);
   client.send(daemon.packetAddress(), unknown_flags);
   client.send(daemon.packetAddress(), foreign_token);
   store.put("op/config", "garbage");
   store.put("servers/i-0badcafe02", "{}");
-  store.put("servers/nothex!", serverEntry(server.address()));
+  store.put("servers/nothex!", backendEntry(backend.address()));
   CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="too_short"} 1)"));
   CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="wrong_length"} 1)"));
   CHECK(daemon.waitForMetric(R"(lugfork_packets_dropped_total{cause="unknown_flags"} 1)"));
@@ -214,43 +214,43 @@
   CHECK(daemon.waitForMetric(invalid + R"({cause="service: missing"} 1)"));
   CHECK(daemon.waitForMetric(invalid + R"({cause="id: not hexadecimal"} 1)"));
   CHECK(daemon.waitForMetric("lugfork_routes_version 7"));
-  client.send(daemon.packetAddress(), opening(40002));
-  CHECK(server.receive().size() == kPrefixBytes + 32);
+  client.send(daemon.packetAddress(), makeOpening(40002));
+  CHECK(backend.receive().size() == kIdPrefixBytes + 32);
 }
 
-TEST_CASE("no answer of the store empties what is known", "[packetd]") {
+TEST_CASE("a failed response of the store removes nothing from the view", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   Packetd daemon(store.address());
   daemon.start();
   REQUIRE(daemon.waitForReady(200));
-  const auto [how, status] = GENERATE(std::pair<std::string, int>("throttled", 429),
-                                      std::pair<std::string, int>("unavailable", 503),
-                                      std::pair<std::string, int>("not_found", 404),
-                                      std::pair<std::string, int>("malformed", 500),
-                                      std::pair<std::string, int>("malformed", 200),
-                                      std::pair<std::string, int>("history_gone", 410));
+  const auto [cause, status] = GENERATE(std::pair<std::string, int>("throttled", 429),
+                                        std::pair<std::string, int>("unavailable", 503),
+                                        std::pair<std::string, int>("not_found", 404),
+                                        std::pair<std::string, int>("malformed", 500),
+                                        std::pair<std::string, int>("malformed", 200),
+                                        std::pair<std::string, int>("history_gone", 410));
   if (status == 410) {
-    store.put("servers/i-0badcafe09", serverEntry(server.address()));
+    store.put("servers/i-0badcafe09", backendEntry(backend.address()));
     store.remove("servers/i-0badcafe09");
     store.compactHistory();
   }
   store.truncateResponses(status == 200);
   store.failWith(status == 410 ? 200 : status);
-  store.put("servers/i-0badcafe03", serverEntry({kLoopback, 9}, "draining"));
+  store.put("servers/i-0badcafe03", backendEntry({kLoopback, 9}, "draining"));
   if (status != 410) {
-    CHECK(Packetd::eventually([&, how = how] {
-      const std::string name = "lugfork_platform_errors_total{cause=\"" + how + "\"} ";
+    CHECK(Packetd::eventually([&, cause = cause] {
+      const std::string name = "lugfork_platform_errors_total{cause=\"" + cause + "\"} ";
       const std::string text = daemon.metrics();
       const auto at = text.find(name);
       return at != std::string::npos && text[at + name.size()] != '0';
     }));
   }
   TestSocket client;
-  client.send(daemon.packetAddress(), opening(40003));
-  CHECK(server.receive().size() == kPrefixBytes + 32);
+  client.send(daemon.packetAddress(), makeOpening(40003));
+  CHECK(backend.receive().size() == kIdPrefixBytes + 32);
 
   store.truncateResponses(false);
   store.failWith(200);
@@ -258,31 +258,32 @@
   CHECK(daemon.waitForMetric("lugfork_routes_version 8"));
 }
 
-TEST_CASE("a node that the store refuses reads what another knows", "[packetd]") {
+TEST_CASE("a node that can't read the store gets the view of a peer", "[packetd]") {
   FakeStore store;
-  TestSocket server;
+  TestSocket backend;
   store.put("op/config", kRoutes);
-  store.put("servers/i-0badcafe01", serverEntry(server.address()));
+  store.put("servers/i-0badcafe01", backendEntry(backend.address()));
   const ReservedPort peer_port;
   Packetd first(store.address(), {}, {kLoopback, peer_port.number()});
   first.start();
   REQUIRE(first.waitForReady(200));
-  FakeStore refusing;
-  refusing.failWith(503);
-  Packetd second(refusing.address(), {first.controlAddress()}, {kLoopback + 1, peer_port.number()});
+  FakeStore failing_store;
+  failing_store.failWith(503);
+  Packetd second(failing_store.address(), {first.controlAddress()},
+                 {kLoopback + 1, peer_port.number()});
   second.start();
   REQUIRE(second.waitForReady(200));
   TestSocket client;
-  client.send(second.packetAddress(), opening(40004));
-  CHECK(server.receive().size() == kPrefixBytes + 32);
+  client.send(second.packetAddress(), makeOpening(40004));
+  CHECK(backend.receive().size() == kIdPrefixBytes + 32);
   store.put("op/config", R"({"version":9,"routes":[]})");
   CHECK(second.waitForMetric("lugfork_routes_version 9"));
   CHECK(second.log().find("\"origin\":\"balancer\"") != std::string::npos);
-  // Nothing to learn there: the store is left alone while another balancer has a fresh view.
-  CHECK(refusing.calls() <= 2);
+  // No further calls are made to the store while a peer has a fresh view.
+  CHECK(failing_store.calls() <= 2);
 }
 
-TEST_CASE("of two balancers one follows the other, and the store again once that one is dead",
+TEST_CASE("one of two balancers follows the other, and the store again after that one has died",
           "[packetd]") {
   FakeStore store;
   store.put("op/config", kRoutes);
@@ -291,7 +292,7 @@
   Packetd second(store.address(), {first.controlAddress()}, {kLoopback + 1, peer_port.number()});
   first.start();
   second.start();
-  // Help lines begin in the same way, but not at the start of a line.
+  // HELP and TYPE lines contain the name, too, but not at the start of a line.
   const std::string following = "\nlugfork_upstream{kind=\"balancer\"} 1";
   const auto follows = [&](const Packetd& daemon) {
     return daemon.metrics().find(following) != std::string::npos;
@@ -312,7 +313,7 @@
   CHECK(follower.waitForMetric("lugfork_routes_version 9"));
 }
 
-TEST_CASE("a planned stop takes little longer than its quiet time", "[packetd]") {
+TEST_CASE("a planned stop makes the node unready, exits with 0 and logs each step", "[packetd]") {
   FakeStore store;
   store.put("op/config", kRoutes);
   Packetd daemon(store.address());
@@ -327,7 +328,7 @@
   }
 }
 
-TEST_CASE("the settings are read again on SIGHUP", "[packetd]") {
+TEST_CASE("SIGHUP reloads the settings, and rejects invalid ones", "[packetd]") {
   FakeStore store;
   store.put("op/config", kRoutes);
   Packetd daemon(store.address());
@@ -343,7 +344,7 @@
   CHECK(daemon.readyStatus() == 200);
 }
 
-/** @return the program's exit code and what it wrote. */
+/** @return the exit code and the output of the program. */
 std::pair<int, std::string> runProgram(const std::string& arguments) {
   const std::string command = std::string(LUGFORK_PACKETD) + " " + arguments + " 2>&1";
   FILE* output = popen(command.c_str(), "r");
@@ -355,10 +356,10 @@
   return {WEXITSTATUS(pclose(output)), text};
 }
 
-TEST_CASE("settings of the own zone's share are checked", "[packetd]") {
+TEST_CASE("invalid locality settings are rejected", "[packetd]") {
   struct Row {
     const char* setting;
-    const char* told;
+    const char* expected_text;
   };
   const Row rows[] = {
       {"locality = \"nearest\"", "adaptive"},
@@ -371,12 +372,12 @@
     const std::string file = temporaryFile(std::string(row.setting) + "\n");
     const auto [code, text] = runProgram("--settings " + file);
     CHECK(code == 2);
-    CHECK(text.find(row.told) != std::string::npos);
+    CHECK(text.find(row.expected_text) != std::string::npos);
     std::remove(file.c_str());
   }
 }
 
-TEST_CASE("the command line is as in the other programs", "[packetd]") {
+TEST_CASE("command line: --version, --help and errors in the settings file", "[packetd]") {
   CHECK(runProgram("--version").first == 0);
   const auto [help_code, help] = runProgram("--help");
   CHECK(help_code == 0);
--- a/tests/platform/reserved_port.h
+++ b/tests/platform/reserved_port.h
@@ -16,23 +16,24 @@
 namespace lugfork::platform {
 
 /**
- * A port number, TCP and UDP, for a program that a test starts later. No other ReservedPort on the
- * machine has the same number while this one lives, in whatever process: the holder keeps a socket
- * bound to a name made of the number, which the kernel frees when the process ends.
+ * A port number (TCP and UDP) for a program that a test starts later. It is unique among all
+ * ReservedPorts of all processes on the machine: each object binds a Unix socket to an abstract
+ * name that contains the number. The kernel frees the name when the process ends.
  */
 class ReservedPort {
  public:
-  ReservedPort() : ReservedPort(randomNumber()) {}
+  ReservedPort() : ReservedPort(randomPort()) {}
 
-  /** Takes the first number from there on that nobody holds or uses. */
+  /** Reserves the first port from this one on that is neither reserved nor in use. */
   explicit ReservedPort(std::uint16_t first) {
     number_ = first;
-    for (std::uint16_t tried = 0; tried < kNumbers; ++tried) {
-      if (hold() && isUnused()) {
+    for (std::uint16_t attempt = 0; attempt < kPortCount; ++attempt) {
+      if (lock() && isUnused()) {
         return;
       }
       release();
-      number_ = number_ == kFirst + kNumbers - 1 ? kFirst : static_cast<std::uint16_t>(number_ + 1);
+      number_ = number_ == kFirstPort + kPortCount - 1 ? kFirstPort
+                                                       : static_cast<std::uint16_t>(number_ + 1);
     }
     throw std::runtime_error("no free port");
   }
@@ -43,30 +44,30 @@
   std::uint16_t number() const { return number_; }
 
  private:
-  /** Below the ports of outgoing connections and those of PortBlock in tests/process/fleet.h. */
-  static constexpr std::uint16_t kFirst = 12000;
-  static constexpr std::uint16_t kNumbers = 11000;
+  /** Below the ephemeral ports and those of PortBlock in tests/process/fleet.h. */
+  static constexpr std::uint16_t kFirstPort = 12000;
+  static constexpr std::uint16_t kPortCount = 11000;
 
-  static std::uint16_t randomNumber() {
+  static std::uint16_t randomPort() {
     static std::mt19937 random{std::random_device{}()};
-    return static_cast<std::uint16_t>(kFirst + random() % kNumbers);
+    return static_cast<std::uint16_t>(kFirstPort + random() % kPortCount);
   }
 
-  bool hold() {
+  bool lock() {
     const std::string text = "lugfork-test-port-" + std::to_string(number_);
     sockaddr_un name{};
     name.sun_family = AF_UNIX;
-    // A first byte of zero: a name outside of the file system, which no file outlives.
+    // A leading zero byte selects the abstract namespace, which leaves no file behind.
     std::memcpy(name.sun_path + 1, text.data(), text.size());
     const auto size = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + 1 + text.size());
-    holder_ = ::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-    return ::bind(holder_, reinterpret_cast<const sockaddr*>(&name), size) == 0;
+    lock_socket_ = ::socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0);
+    return ::bind(lock_socket_, reinterpret_cast<const sockaddr*>(&name), size) == 0;
   }
 
   void release() {
-    if (holder_ >= 0) {
-      ::close(holder_);
-      holder_ = -1;
+    if (lock_socket_ >= 0) {
+      ::close(lock_socket_);
+      lock_socket_ = -1;
     }
   }
 
@@ -82,7 +83,7 @@
     return can;
   }
 
-  int holder_ = -1;
+  int lock_socket_ = -1;
   std::uint16_t number_ = 0;
 };
 
--- a/tests/platform/reserved_port_test.cc
+++ b/tests/platform/reserved_port_test.cc
@@ -9,9 +9,9 @@
 namespace lugfork::platform {
 namespace {
 
-TEST_CASE("a port that a test holds is given to no other test", "[reserved_port]") {
+TEST_CASE("a reserved port is not reserved again", "[reserved_port]") {
   const ReservedPort first;
-  SECTION("of this process") {
+  SECTION("by this process") {
     const ReservedPort second(first.number());
     CHECK(second.number() != first.number());
     std::list<ReservedPort> many(200);
@@ -21,7 +21,7 @@
     }
     CHECK(numbers.size() == 202);
   }
-  SECTION("of another process") {
+  SECTION("by another process") {
     const pid_t other = ::fork();
     if (other == 0) {
       _exit(ReservedPort(first.number()).number() == first.number() ? 1 : 0);
@@ -33,7 +33,7 @@
   }
 }
 
-TEST_CASE("a port is free again once its holder is gone", "[reserved_port]") {
+TEST_CASE("a port is free again after its reservation ends", "[reserved_port]") {
   std::uint16_t number = 0;
   {
     const ReservedPort first;
@@ -43,8 +43,7 @@
   CHECK(second.number() == number);
 }
 
-TEST_CASE("a port that a program uses on some loopback address is not given out",
-          "[reserved_port]") {
+TEST_CASE("a port in use on any loopback address is not reserved", "[reserved_port]") {
   std::uint16_t number = 0;
   {
     const ReservedPort first;
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -11,12 +11,12 @@
 namespace lugfork::platform {
 namespace {
 
-std::string routesOf(int version) {
+std::string routesJson(int version) {
   return R"({"version":)" + std::to_string(version) +
          R"(,"routes":[{"host":"198.18.0.1","path_prefix":"/443/","service":"s"}]})";
 }
 
-/** @return the changes after the beginning of time. */
+/** @return all changes in the history of the store. */
 std::optional<ItemChanges> watchAll(const FakeStore& store) {
   boost::asio::io_context io_context;
   HttpGetClient http_client(io_context, seconds(1));
@@ -34,11 +34,10 @@
   return changes;
 }
 
-TEST_CASE("of several versions in one answer the newest of each key is passed on",
-          "[store_client]") {
+TEST_CASE("only the latest change of each key in a response is passed on", "[store_client]") {
   FakeStore store;
   for (int version = 1; version <= 5; ++version) {
-    store.put("op/config", routesOf(version));
+    store.put("op/config", routesJson(version));
   }
   store.put("op/evacuate/lac", "{}");
   store.remove("op/evacuate/lac");
--- a/tests/platform/store_codec_test.cc
+++ b/tests/platform/store_codec_test.cc
@@ -13,7 +13,7 @@
 namespace lugfork::platform {
 namespace {
 
-/** The time of day in these tests. */
+/** Current time in these tests [Unix ms]. */
 constexpr std::uint64_t kNowMs = 1'764'700'000'000;
 
 struct FixedTime : TimeSource {
@@ -26,7 +26,7 @@
 const FixedTime kTime;
 const StoreRecordDecoder kDecoder(kTime);
 
-nlohmann::json goodEntry() {
+nlohmann::json validEntry() {
   return {{"service", "huvo11a"}, {"address", "10.128.0.9:8080"},
           {"zone", "charguia"},   {"version", "v1"},
           {"capacity", 2},        {"state", "ready"},
@@ -43,7 +43,7 @@
   return encoded;
 }
 
-TEST_CASE("a page is read", "[store_codec]") {
+TEST_CASE("a page is decoded", "[store_codec]") {
   const auto page =
       decodePage(R"({"items":[{"key":"my/leader","value":"bm9kZS0x","revision":412,"created":400,)"
                  R"("lease":77120}],"more":true,"at":530})");
@@ -56,7 +56,7 @@
   CHECK(page.value().items[0].created == 400);
 }
 
-TEST_CASE("changes are read", "[store_codec]") {
+TEST_CASE("changes are decoded", "[store_codec]") {
   const auto changes = decodeChanges(
       R"({"events":[{"key":"my/leader","value":"bm9kZS0x","revision":412,"created":412},)"
       R"({"key":"my/old","revision":413,"gone":true}],"at":413})");
@@ -67,7 +67,7 @@
   CHECK(changes.value().changes[1].item.revision == 413);
 }
 
-TEST_CASE("a body of another form is malformed", "[store_codec]") {
+TEST_CASE("a body with another structure is malformed", "[store_codec]") {
   const std::string body =
       GENERATE(as<std::string>(), "", "{", "[]", "null", R"({"items":[]})", R"({"at":1})",
                R"({"items":[{"key":"a"}],"at":1,"more":true,"events":1})",
@@ -77,8 +77,8 @@
   CHECK_FALSE(decodeChanges(body));
 }
 
-TEST_CASE("no body makes the codec fail otherwise", "[store_codec]") {
-  rc::prop("any text is a page or malformed", [](const std::string& body) {
+TEST_CASE("arbitrary text is decoded or rejected without another failure", "[store_codec]") {
+  rc::prop("arbitrary text is a page or malformed", [](const std::string& body) {
     (void)decodePage(body);
     (void)decodeChanges(body);
     (void)kDecoder.decode("op/config", body);
@@ -86,32 +86,32 @@
   });
 }
 
-TEST_CASE("targets of calls are encoded", "[store_codec]") {
+TEST_CASE("request targets are URL-encoded", "[store_codec]") {
   CHECK(pageTarget({"servers/", "servers/i 1", ReadConsistency::MayBeStale}) ==
         "/kv-range?path_prefix=servers%2f&after=servers%2fi%201&stale=1");
   CHECK(watchTarget({"op/", 411, seconds(20)}) ==
         "/kv-watch?path_prefix=op%2f&after=411&wait_ms=20000");
 }
 
-TEST_CASE("an item that can't be read costs itself only", "[store_codec]") {
-  const std::string bad = GENERATE(as<std::string>(), R"({"key":"b"})", R"({"revision":1})",
-                                   R"({"key":7,"revision":1})", R"({"key":"b","revision":"1"})",
-                                   R"({"key":"b","revision":-1})", R"({"key":"b","revision":1.5})",
-                                   R"({"key":"b","revision":true})", "7", "null", "[[[]]]");
-  const std::string good_1 = R"({"key":"a","revision":1,"value":"bm9kZS0x"},)";
-  const std::string good_2 = R"(,{"key":"c","revision":3,"value":"bm9kZS0x"}],"at":5)";
-  const auto page = decodePage(R"({"items":[)" + good_1 + bad + good_2 + R"(,"more":true})");
+TEST_CASE("an item that can't be decoded is counted and doesn't affect others", "[store_codec]") {
+  const std::string invalid = GENERATE(
+      as<std::string>(), R"({"key":"b"})", R"({"revision":1})", R"({"key":7,"revision":1})",
+      R"({"key":"b","revision":"1"})", R"({"key":"b","revision":-1})",
+      R"({"key":"b","revision":1.5})", R"({"key":"b","revision":true})", "7", "null", "[[[]]]");
+  const std::string valid_1 = R"({"key":"a","revision":1,"value":"bm9kZS0x"},)";
+  const std::string valid_2 = R"(,{"key":"c","revision":3,"value":"bm9kZS0x"}],"at":5)";
+  const auto page = decodePage(R"({"items":[)" + valid_1 + invalid + valid_2 + R"(,"more":true})");
   REQUIRE(page);
   REQUIRE(page.value().items.size() == 2);
   CHECK(page.value().items[1].key == "c");
   CHECK(page.value().unreadable == 1);
-  const auto changes = decodeChanges(R"({"events":[)" + good_1 + bad + good_2 + "}");
+  const auto changes = decodeChanges(R"({"events":[)" + valid_1 + invalid + valid_2 + "}");
   REQUIRE(changes);
   CHECK(changes.value().changes.size() == 2);
   CHECK(changes.value().unreadable == 1);
 }
 
-TEST_CASE("an item whose value can't be read keeps its key and names nothing", "[store_codec]") {
+TEST_CASE("an item with an invalid value keeps its key and has no valid record", "[store_codec]") {
   const std::string value = GENERATE(as<std::string>(), R"("%%")", "7", "null", R"("AB")", "{}");
   const auto page =
       decodePage(R"({"items":[{"key":"servers/i-1","revision":9,"value":)" + value +
@@ -123,85 +123,86 @@
   CHECK(record.error().text == "the entry is no JSON object");
 }
 
-TEST_CASE("a server's entry tells its start", "[store_codec]") {
+TEST_CASE("the start time of a backend is decoded from its entry", "[store_codec]") {
   const auto read = [](const nlohmann::json& entry) {
     return kDecoder.decode("servers/i-7f", entry.dump());
   };
-  nlohmann::json entry = goodEntry();
+  nlohmann::json entry = validEntry();
   const auto record = read(entry);
   REQUIRE(record);
   CHECK(std::get<ServerRecord>(record.value()).started_ms == kNowMs - 5000);
-  entry["born"] = kNowMs + 60'000;  // Clocks differ.
+  entry["born"] = kNowMs + 60'000;  // Clock skew.
   CHECK(read(entry));
   entry.erase("born");
   REQUIRE(read(entry));
   CHECK(std::get<ServerRecord>(read(entry).value()).started_ms == 0);
 }
 
-TEST_CASE("an entry with one wrong field names no server, and says which", "[store_codec]") {
-  const std::vector<nlohmann::json> wrong = {nullptr,
-                                             true,
-                                             -1,
-                                             2.5,
-                                             1e300,
-                                             "",
-                                             "x\xff",
-                                             "text",
-                                             nlohmann::json::array(),
-                                             nlohmann::json::object(),
-                                             ~0ULL};
-  const nlohmann::json all_good = goodEntry();
-  for (const auto& [field, good] : all_good.items()) {
-    nlohmann::json entry = goodEntry();
+TEST_CASE("an entry with one invalid field is rejected with the name of the field",
+          "[store_codec]") {
+  const std::vector<nlohmann::json> invalid_values = {nullptr,
+                                                      true,
+                                                      -1,
+                                                      2.5,
+                                                      1e300,
+                                                      "",
+                                                      "x\xff",
+                                                      "text",
+                                                      nlohmann::json::array(),
+                                                      nlohmann::json::object(),
+                                                      ~0ULL};
+  const nlohmann::json valid_entry = validEntry();
+  for (const auto& [field, good] : valid_entry.items()) {
+    nlohmann::json entry = validEntry();
     entry.erase(field);
     const auto without = decodeBackendEntry("i-7f", entry.dump(), kTime.systemTime());
     CHECK(without.has_value() == (field == "born"));
-    for (const nlohmann::json& value : wrong) {
+    for (const nlohmann::json& value : invalid_values) {
       const bool is_text = field == "service" || field == "zone" || field == "version";
-      const bool fits =
+      const bool is_valid =
           (is_text && value.is_string() && !value.get_ref<const std::string&>().empty()) ||
           (field == "seq" && value.is_number_unsigned());
       entry[field] = value;
       const auto text = entry.dump(-1, ' ', false, nlohmann::json::error_handler_t::ignore);
       INFO(text);
       const auto read = decodeBackendEntry("i-7f", text, kTime.systemTime());
-      CHECK(read.has_value() == fits);
+      CHECK(read.has_value() == is_valid);
       if (!read) {
         CHECK(read.error().text.starts_with(field + ": "));
       }
     }
   }
   for (const std::uint64_t start : std::vector<std::uint64_t>{0, kNowMs + 3'700'000, ~0ULL}) {
-    nlohmann::json entry = goodEntry();
+    nlohmann::json entry = validEntry();
     entry["born"] = start;
     CHECK_FALSE(decodeBackendEntry("i-7f", entry.dump(), kTime.systemTime()));
   }
 }
 
-TEST_CASE("whatever others write, the servers beside it are all read", "[store_codec]") {
+TEST_CASE("a corrupted entry doesn't affect other entries of the same page", "[store_codec]") {
   const auto random = makeSeededRandom(22);
-  const std::string good = goodEntry().dump();
+  const std::string good = validEntry().dump();
   for (int round = 0; round < 2000; ++round) {
-    std::string foreign = good;
+    std::string corrupted = good;
     switch (random->below(5)) {
       case 0:
-        foreign.resize(random->below(good.size()));
+        corrupted.resize(random->below(good.size()));
         break;
       case 1:
-        foreign = std::string(10'000, round % 2 == 0 ? '[' : '{');
+        corrupted = std::string(10'000, round % 2 == 0 ? '[' : '{');
         break;
       case 2:
-        foreign = R"({"a":)" + std::string(500, '[') + std::string(500, ']') + "}";
+        corrupted = R"({"a":)" + std::string(500, '[') + std::string(500, ']') + "}";
         break;
       default:
         for (int change = 0; change < 3; ++change) {
-          foreign[random->below(foreign.size())] = static_cast<char>(random->next());
+          corrupted[random->below(corrupted.size())] = static_cast<char>(random->next());
         }
     }
-    const std::string body = R"({"items":[{"key":"servers/i-1","revision":1,"value":")" +
-                             base64(good) + R"("},{"key":"servers/i-2","revision":2,"value":")" +
-                             base64(foreign) + R"("},{"key":"servers/i-3","revision":3,"value":")" +
-                             base64(good) + R"("}],"at":5})";
+    const std::string body =
+        R"({"items":[{"key":"servers/i-1","revision":1,"value":")" + base64(good) +
+        R"("},{"key":"servers/i-2","revision":2,"value":")" + base64(corrupted) +
+        R"("},{"key":"servers/i-3","revision":3,"value":")" + base64(good) + R"("}],"at":5})";
     const auto page = decodePage(body);
     REQUIRE(page);
     REQUIRE(page.value().items.size() == 3);
@@ -215,23 +216,23 @@
   }
 }
 
-TEST_CASE("a server's entry is read", "[store_codec]") {
+TEST_CASE("the entry of a backend is decoded", "[store_codec]") {
   const auto record = kDecoder.decode(
       "servers/i-7f3a91c2ff",
       R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"charguia","version":"v1",)"
       R"("capacity":2,"state":"draining","warmup_left_ms":70,"seq":4})");
   REQUIRE(record);
-  const auto& server = std::get<ServerRecord>(record.value());
-  CHECK(server.server_id == 0x7f3a91c2ff);
-  CHECK(server.service == "huvo11a");
-  CHECK(server.address == Endpoint{0x0a800009, 8080});
-  CHECK(server.zone == "charguia");
-  CHECK(server.slots == 2);
-  CHECK(server.state == ServerState::Draining);
-  CHECK(server.warmup_left_ms == 70);
+  const auto& backend = std::get<ServerRecord>(record.value());
+  CHECK(backend.server_id == 0x7f3a91c2ff);
+  CHECK(backend.service == "huvo11a");
+  CHECK(backend.address == Endpoint{0x0a800009, 8080});
+  CHECK(backend.zone == "charguia");
+  CHECK(backend.slots == 2);
+  CHECK(backend.state == ServerState::Draining);
+  CHECK(backend.warmup_left_ms == 70);
 }
 
-TEST_CASE("a broken server entry is refused with a reason", "[store_codec]") {
+TEST_CASE("an invalid entry is rejected with a reason", "[store_codec]") {
   const std::string value = GENERATE(
       as<std::string>(), "", "{}", R"({"service":"a","address":"x","zone":"z","capacity":2})",
       R"({"service":"a","address":"1.2.3.4:80","zone":"z","capacity":2,"state":"lost"})",
@@ -242,7 +243,7 @@
   CHECK_FALSE(record.error().text.empty());
 }
 
-TEST_CASE("the operator's configuration is read", "[store_codec]") {
+TEST_CASE("the operator's configuration is decoded", "[store_codec]") {
   const auto record = kDecoder.decode(
       "op/config",
       R"({"version":7,"routes":[{"name":"r-a","host":"198.18.0.1","path_prefix":"/8443/",)"
@@ -269,7 +270,7 @@
   CHECK(table.warmups[2].service == "other");
 }
 
-TEST_CASE("a broken configuration is refused whole", "[store_codec]") {
+TEST_CASE("an invalid configuration is rejected as a whole", "[store_codec]") {
   const std::string value =
       GENERATE(as<std::string>(), "", "7", R"({"version":1})", R"({"version":"x","routes":[]})",
                R"({"version":1,"routes":[{"host":"1.2.3.4","path_prefix":"443","service":"a"}]})",
@@ -278,23 +279,23 @@
   CHECK_FALSE(kDecoder.decode("op/config", value));
 }
 
-TEST_CASE("a zone that the operator empties is out of service", "[store_codec]") {
+TEST_CASE("a zone that the operator evacuates is out of service", "[store_codec]") {
   const auto record = kDecoder.decode("op/evacuate/lac", "{}");
   REQUIRE(record);
   REQUIRE(std::holds_alternative<ZoneOutOfService>(record.value()));
   CHECK(std::get<ZoneOutOfService>(record.value()).zone == "lac");
-  const auto nameless = kDecoder.decode("op/evacuate/", "{}");
-  REQUIRE(nameless);
-  CHECK(std::holds_alternative<IrrelevantItem>(nameless.value()));
+  const auto without_name = kDecoder.decode("op/evacuate/", "{}");
+  REQUIRE(without_name);
+  CHECK(std::holds_alternative<IrrelevantItem>(without_name.value()));
 }
 
-TEST_CASE("keys of other kinds are passed over", "[store_codec]") {
+TEST_CASE("items with other keys are irrelevant", "[store_codec]") {
   const auto record = kDecoder.decode("op/other", "not json");
   REQUIRE(record);
   CHECK(std::holds_alternative<IrrelevantItem>(record.value()));
 }
 
-TEST_CASE("ids are hexadecimal after the last hyphen", "[store_codec]") {
+TEST_CASE("platform ids are hexadecimal after the last hyphen", "[store_codec]") {
   CHECK(parsePlatformId("i-7f3a91c2") == 0x7f3a91c2);
   CHECK(parsePlatformId("a-b-ff") == 0xff);
   CHECK(parsePlatformId("ff") == 0xff);
--- a/tests/wire/codec_property_test.cc
+++ b/tests/wire/codec_property_test.cc
@@ -13,63 +13,63 @@
   });
 }
 
-FlowKey anyKey() {
+FlowKey arbitraryKey() {
   return FlowKey{{*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint64_t>()},
                  *rc::gen::arbitrary<std::uint8_t>()};
 }
 
-Endpoint anyEndpoint() {
+Endpoint arbitraryEndpoint() {
   return Endpoint{*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
 }
 
-std::uint32_t anyNumber() {
+std::uint32_t arbitraryNumber() {
   return *rc::gen::arbitrary<std::uint32_t>();
 }
 
-Datagram anyDatagram() {
+Datagram arbitraryDatagram() {
   switch (*rc::gen::inRange(0, 6)) {
     case 0:
-      return Open{anyEndpoint(), anyKey()};
+      return Open{arbitraryEndpoint(), arbitraryKey()};
     case 1:
-      return Data{anyEndpoint(),
-                  anyKey(),
+      return Data{arbitraryEndpoint(),
+                  arbitraryKey(),
                   *bytesUpTo(60),
-                  anyNumber(),
+                  arbitraryNumber(),
                   *rc::gen::arbitrary<bool>(),
-                  anyNumber(),
+                  arbitraryNumber(),
                   *bytesUpTo(kMaxPayloadBytes)};
     case 2:
-      return Answer{anyKey(),    ServiceId(anyNumber()),      BackendId(anyNumber()),
-                    anyNumber(), *rc::gen::arbitrary<bool>(), *bytesUpTo(kMaxPayloadBytes)};
+      return Answer{arbitraryKey(),    ServiceId(arbitraryNumber()), BackendId(arbitraryNumber()),
+                    arbitraryNumber(), *rc::gen::arbitrary<bool>(),  *bytesUpTo(kMaxPayloadBytes)};
     case 3:
-      return Refused{anyKey(), Reason::Draining, anyNumber(), *bytesUpTo(60),
+      return Refused{arbitraryKey(), Reason::Draining, arbitraryNumber(), *bytesUpTo(60),
                      *rc::gen::element(RefusalScope::Placement, RefusalScope::Attempt)};
     case 4:
-      return Forward{anyEndpoint(), BackendId(anyNumber()), ServiceId(anyNumber()),
-                     *rc::gen::element(ForwardMode::MayStart, ForwardMode::ContinueOnly),
-                     *bytesUpTo(1200)};
+      return Forward{
+          arbitraryEndpoint(), BackendId(arbitraryNumber()), ServiceId(arbitraryNumber()),
+          *rc::gen::element(ForwardMode::MayStart, ForwardMode::ContinueOnly), *bytesUpTo(1200)};
     default:
-      return BackendRefusal{anyEndpoint(),
-                            anyKey(),
-                            ServiceId(anyNumber()),
-                            BackendId(anyNumber()),
+      return BackendRefusal{arbitraryEndpoint(),
+                            arbitraryKey(),
+                            ServiceId(arbitraryNumber()),
+                            BackendId(arbitraryNumber()),
                             Reason::Overloaded,
                             *rc::gen::arbitrary<bool>(),
-                            anyNumber()};
+                            arbitraryNumber()};
   }
 }
 
-/** Bytes that are taken as a datagram must give one that is taken again. */
-void checkDecoding(const Bytes& bytes) {
+/** Bytes that decode to a datagram must decode again after re-encoding it. */
+void checkReencodable(const Bytes& bytes) {
   const auto decoded = decodeDatagram(bytes);
   if (decoded) {
     RC_ASSERT(decodeDatagram(encodeDatagram(decoded.value())).has_value());
   }
 }
 
-TEST_CASE("datagrams of any content survive the wire") {
-  rc::prop("decoding gives back what was encoded", [] {
-    const Datagram datagram = anyDatagram();
+TEST_CASE("datagrams with arbitrary content are encoded and decoded without loss") {
+  rc::prop("decoding returns the encoded datagram", [] {
+    const Datagram datagram = arbitraryDatagram();
     const Bytes bytes = encodeDatagram(datagram);
     const auto decoded = decodeDatagram(bytes);
     RC_ASSERT(bytes.size() <= kMaxDatagramBytes);
@@ -79,19 +79,19 @@
   });
 }
 
-TEST_CASE("any bytes are decoded to a datagram or an error") {
-  rc::prop("arbitrary bytes", [] { checkDecoding(*bytesUpTo(200)); });
-  rc::prop("a datagram with some bytes changed or cut off", [] {
-    Bytes bytes = encodeDatagram(anyDatagram());
-    for (int change = *rc::gen::inRange(0, 4); change > 0; --change) {
+TEST_CASE("arbitrary bytes decode to a datagram or an error") {
+  rc::prop("arbitrary bytes", [] { checkReencodable(*bytesUpTo(200)); });
+  rc::prop("a corrupted or truncated datagram", [] {
+    Bytes bytes = encodeDatagram(arbitraryDatagram());
+    for (int changes_left = *rc::gen::inRange(0, 4); changes_left > 0; --changes_left) {
       bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<std::uint8_t>();
     }
     bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size() + 1));
-    checkDecoding(bytes);
+    checkReencodable(bytes);
   });
 }
 
-TEST_CASE("tokens open for their own flow only") {
+TEST_CASE("a token opens for its own flow only") {
   TokenKey key;
   key.id = KeyId(3);
   key.secret.fill(0x11);
@@ -99,15 +99,15 @@
   Configuration configuration;
   configuration.keys = {key};
   const ConfigurationView view(configuration);
-  rc::prop("sealed placements open unchanged, and not after any change", [&] {
+  rc::prop("a sealed placement opens unchanged, and doesn't open after modification", [&] {
     Placement placement;
-    placement.key = anyKey();
-    placement.service = ServiceId(anyNumber());
-    placement.backend = BackendId(anyNumber());
+    placement.key = arbitraryKey();
+    placement.service = ServiceId(arbitraryNumber());
+    placement.backend = BackendId(arbitraryNumber());
     placement.zone = ZoneId(*rc::gen::arbitrary<std::uint16_t>());
-    placement.backend_address = anyEndpoint();
-    placement.config_version = ConfigVersion(anyNumber());
-    placement.placed_at = SystemTime(Duration(anyNumber()));
+    placement.backend_address = arbitraryEndpoint();
+    placement.config_version = ConfigVersion(arbitraryNumber());
+    placement.placed_at = SystemTime(Duration(arbitraryNumber()));
     TokenBytes token = sealToken(placement, key);
     const auto opened = openToken(token, placement.key, view);
     RC_ASSERT(opened.has_value());
@@ -117,7 +117,7 @@
     RC_ASSERT(opened.value().backend_address == placement.backend_address);
     RC_ASSERT(opened.value().config_version == placement.config_version);
     RC_ASSERT(opened.value().placed_at == placement.placed_at);
-    const FlowKey other = anyKey();
+    const FlowKey other = arbitraryKey();
     RC_ASSERT(other == placement.key || !openToken(token, other, view).has_value());
     token[*rc::gen::inRange<std::size_t>(0, token.size())] ^=
         *rc::gen::inRange<std::uint8_t>(1, 255);
--- a/tests/wire/datagram_codec_test.cc
+++ b/tests/wire/datagram_codec_test.cc
@@ -8,7 +8,7 @@
 const Endpoint kService{0x0a140001, 443};
 const FlowKey kKey{{1, 2}, 3};
 
-/** One datagram of each type, with every field set to something other than its default. */
+/** One datagram of each type, with every field set to a non-default value. */
 std::vector<Datagram> oneOfEach() {
   return {
       Open{kService, kKey},
@@ -26,7 +26,7 @@
   };
 }
 
-TEST_CASE("every datagram type survives encoding and decoding") {
+TEST_CASE("every datagram type is encoded and decoded without loss") {
   const auto datagrams = oneOfEach();
   REQUIRE(datagrams.size() == std::variant_size_v<Datagram>);
   for (const Datagram& datagram : datagrams) {
@@ -38,7 +38,7 @@
   }
 }
 
-TEST_CASE("a forwarded full data datagram fits the largest datagram") {
+TEST_CASE("a Forward with a maximum-size Data datagram fits the maximum datagram size") {
   const Bytes data = encodeDatagram(
       Data{kService, kKey, TokenBytes(52, 7), 4000000000, true, 4000000000, Bytes(1000, 9)});
   CHECK(encodeDatagram(Forward{kService, BackendId(4000000000), ServiceId(4000000000),
@@ -46,7 +46,7 @@
             .size() <= kMaxDatagramBytes);
 }
 
-TEST_CASE("bytes that are no datagram are refused with the cause") {
+TEST_CASE("bytes that are not a datagram are rejected with the cause") {
   struct Row {
     const char* name;
     Bytes bytes;
--- a/tests/wire/peer_codec_test.cc
+++ b/tests/wire/peer_codec_test.cc
@@ -7,26 +7,26 @@
 
 const MemberRecord kMember{"lac-1", "lac", {0x0a000001, 7100}, MemberState::Suspect, 99};
 
-GossipHeader someGossip() {
+GossipHeader sampleGossip() {
   BackendObservation observation;
   observation.report.backend = BackendId(7);
   observation.self_announced = true;
   return {kMember, {ConfigVersion(3), 0xfeed}, {kMember}, {observation}};
 }
 
-TEST_CASE("every peer message type survives encoding and decoding") {
+TEST_CASE("every peer message type is encoded and decoded without loss") {
   const ConfigurationId older{ConfigVersion(2), 1};
   const ConfigurationId newer{ConfigVersion(3), 2};
   const ResourceRecord record{{ResourceKind::Backend, 7}, Bytes{1, 2, 3}};
   const std::vector<PeerMessage> messages = {
-      Ping{2, someGossip()},
-      PingAck{2, someGossip()},
-      PingRequest{2, {0x0a000002, 7100}, someGossip()},
-      GossipPush{someGossip()},
+      Ping{2, sampleGossip()},
+      PingAck{2, sampleGossip()},
+      PingRequest{2, {0x0a000002, 7100}, sampleGossip()},
+      GossipPush{sampleGossip()},
       MembersRequest{500},
       MembersReply{{kMember}, 1000},
       ObservationsRequest{100},
-      ObservationsReply{someGossip().observations},
+      ObservationsReply{sampleGossip().observations},
       ConfigurationRequest{older},
       ConfigurationDelta{older, newer, {record}, {{ResourceKind::Zone, 4}}},
       ConfigurationSummary{newer, {11, 12}},
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("frames that are no peer message are refused with the cause") {
+TEST_CASE("frames that are not a peer message are rejected with the cause") {
   CHECK(decodePeerMessage(Bytes{}).error() == CodecError::Malformed);
   CHECK(decodePeerMessage(Bytes(kMaxPeerMessageBytes + 1, 0)).error() == CodecError::TooLarge);
   CHECK(decodePeerMessage(Bytes{0x91, 0x7f}).error() == CodecError::UnknownType);
--- a/tests/wire/record_codec_test.cc
+++ b/tests/wire/record_codec_test.cc
@@ -7,49 +7,50 @@
 
 const CompactRecordDecoder kDecoder;
 
-ServerRecord sampleServer() {
-  ServerRecord server;
-  server.server_id = 0xab12cd34ef;
-  server.name = "i-ab12cd34ef";
-  server.service = "listen";
-  server.address = {0x0a010203, 7001};
-  server.zone = "lac";
-  server.slots = 2;
-  server.state = ServerState::Draining;
-  server.warmup_left_ms = 1500;
-  return server;
+ServerRecord sampleBackend() {
+  ServerRecord backend;
+  backend.server_id = 0xab12cd34ef;
+  backend.name = "i-ab12cd34ef";
+  backend.service = "listen";
+  backend.address = {0x0a010203, 7001};
+  backend.zone = "lac";
+  backend.slots = 2;
+  backend.state = ServerState::Draining;
+  backend.warmup_left_ms = 1500;
+  return backend;
 }
 
-TEST_CASE("a server's record is read as it was written, its name from the key", "[record_codec]") {
-  const ServerRecord server = sampleServer();
-  const auto record = kDecoder.decode("server/i-ab12cd34ef", encodeRecord(PlatformRecord(server)));
+TEST_CASE("a backend record is decoded without loss, with its name from the key",
+          "[record_codec]") {
+  const ServerRecord backend = sampleBackend();
+  const auto record = kDecoder.decode("server/i-ab12cd34ef", encodeRecord(PlatformRecord(backend)));
   REQUIRE(record);
-  const auto& read = std::get<ServerRecord>(record.value());
-  CHECK(read.server_id == server.server_id);
-  CHECK(read.name == server.name);
-  CHECK(read.service == server.service);
-  CHECK(read.address == server.address);
-  CHECK(read.zone == server.zone);
-  CHECK(read.slots == server.slots);
-  CHECK(read.state == server.state);
-  CHECK(read.warmup_left_ms == server.warmup_left_ms);
+  const auto& decoded = std::get<ServerRecord>(record.value());
+  CHECK(decoded.server_id == backend.server_id);
+  CHECK(decoded.name == backend.name);
+  CHECK(decoded.service == backend.service);
+  CHECK(decoded.address == backend.address);
+  CHECK(decoded.zone == backend.zone);
+  CHECK(decoded.slots == backend.slots);
+  CHECK(decoded.state == backend.state);
+  CHECK(decoded.warmup_left_ms == backend.warmup_left_ms);
 }
 
-TEST_CASE("routes, irrelevant items and problems are read as they were written", "[record_codec]") {
+TEST_CASE("routes, irrelevant items and problems are decoded without loss", "[record_codec]") {
   const RouteTable table{
       9, {{{0xc6120001, 443}, {{"listen", 90}, {"ingest", 10}}, true}}, {{"listen", 750}}};
   const auto routes = kDecoder.decode("routes", encodeRecord(PlatformRecord(table)));
   REQUIRE(routes);
-  const auto& read = std::get<RouteTable>(routes.value());
-  CHECK(read.version == 9);
-  REQUIRE(read.routes.size() == 1);
-  CHECK(read.routes[0].address == Endpoint{0xc6120001, 443});
-  REQUIRE(read.routes[0].shares.size() == 2);
-  CHECK(read.routes[0].shares[1].service == "ingest");
-  CHECK(read.routes[0].shares[1].weight == 10);
-  CHECK(read.routes[0].bulk);
-  REQUIRE(read.warmups.size() == 1);
-  CHECK(read.warmups[0].flows_per_minute == 750);
+  const auto& decoded = std::get<RouteTable>(routes.value());
+  CHECK(decoded.version == 9);
+  REQUIRE(decoded.routes.size() == 1);
+  CHECK(decoded.routes[0].address == Endpoint{0xc6120001, 443});
+  REQUIRE(decoded.routes[0].shares.size() == 2);
+  CHECK(decoded.routes[0].shares[1].service == "ingest");
+  CHECK(decoded.routes[0].shares[1].weight == 10);
+  CHECK(decoded.routes[0].bulk);
+  REQUIRE(decoded.warmups.size() == 1);
+  CHECK(decoded.warmups[0].flows_per_minute == 750);
 
   const auto irrelevant = kDecoder.decode("x", encodeRecord(PlatformRecord(IrrelevantItem{})));
   REQUIRE(irrelevant);
@@ -60,20 +61,20 @@
   CHECK(problem.error().text == "no address");
 }
 
-TEST_CASE("a zone out of service is read as it was written", "[record_codec]") {
+TEST_CASE("a zone out of service is decoded without loss", "[record_codec]") {
   const auto record = kDecoder.decode("x", encodeRecord(PlatformRecord(ZoneOutOfService{"lac"})));
   REQUIRE(record);
   REQUIRE(std::holds_alternative<ZoneOutOfService>(record.value()));
   CHECK(std::get<ZoneOutOfService>(record.value()).zone == "lac");
 }
 
-TEST_CASE("a record that is cut, longer or of another form is a problem", "[record_codec]") {
-  const std::string good = encodeRecord(PlatformRecord(sampleServer()));
+TEST_CASE("a truncated, extended or malformed record is a problem", "[record_codec]") {
+  const std::string encoded = encodeRecord(PlatformRecord(sampleBackend()));
   CHECK_FALSE(kDecoder.decode("a", ""));
   CHECK_FALSE(kDecoder.decode("a", "{}"));
-  CHECK_FALSE(kDecoder.decode("a", good + "x"));
-  for (std::size_t size = 0; size < good.size(); ++size) {
-    CHECK_FALSE(kDecoder.decode("a", good.substr(0, size)));
+  CHECK_FALSE(kDecoder.decode("a", encoded + "x"));
+  for (std::size_t size = 0; size < encoded.size(); ++size) {
+    CHECK_FALSE(kDecoder.decode("a", encoded.substr(0, size)));
   }
 }
 
--- a/tests/wire/view_transfer_codec_test.cc
+++ b/tests/wire/view_transfer_codec_test.cc
@@ -14,12 +14,12 @@
 const PeerKey kKey = derivePeerKey(std::array<std::uint8_t, 3>{1, 2, 3});
 const ViewMessage kPart = ViewPart{0xfedcba9876543210, {77, 1200, true}, 42, 5000, 3, {1, 2, 3}};
 
-/** A view of servers as a fleet of 10.x addresses in five zones would have it. */
-ViewBody viewOf(std::size_t servers) {
+/** A view of a fleet with addresses in 10.0.0.0/8 and five zones. */
+ViewBody makeView(std::size_t backend_count) {
   const auto random = makeSeededRandom(7);
   const std::array<std::string, 5> zones = {"charguia", "lac", "ariana", "soukra", "megrine"};
   ViewBody body{{}, 100000, true, {}};
-  for (std::size_t index = 0; index < servers; ++index) {
+  for (std::size_t index = 0; index < backend_count; ++index) {
     ServerRecord record;
     record.server_id = random->next() >> 24;
     record.service = index % 5 == 0 ? "ingest" : "listen-api";
@@ -37,10 +37,10 @@
   return body;
 }
 
-TEST_CASE("messages between balancers are read as they were written", "[view_transfer_codec]") {
-  const auto read = decodeViewMessage(encodeViewMessage(kPart, kKey), kKey);
-  REQUIRE(read);
-  const auto& part = std::get<ViewPart>(read.value());
+TEST_CASE("view messages are encoded and decoded without loss", "[view_transfer_codec]") {
+  const auto decoded = decodeViewMessage(encodeViewMessage(kPart, kKey), kKey);
+  REQUIRE(decoded);
+  const auto& part = std::get<ViewPart>(decoded.value());
   CHECK(part.request == 0xfedcba9876543210);
   CHECK(part.status.position == 77);
   CHECK(part.status.age_ms == 1200);
@@ -65,7 +65,8 @@
   CHECK(std::get<ViewRefusal>(refusal.value()).alternatives == std::vector<Endpoint>{{2, 3}});
 }
 
-TEST_CASE("a full part and a full list of peers fit into a datagram", "[view_transfer_codec]") {
+TEST_CASE("a maximum-size part and a maximum-size list of peers fit a datagram",
+          "[view_transfer_codec]") {
   const ViewPart part{~0ULL, {~0ULL, ~0U, true}, ~0ULL, kMaxBodyBytes, 3000, Bytes(kPartBytes, 9)};
   const Bytes encoded = encodeViewMessage(part, kKey);
   CHECK(encoded.size() <= kMaxDatagramBytes);
@@ -77,87 +78,90 @@
   CHECK(decodeViewMessage(list, kKey));
 }
 
-TEST_CASE("no changed byte, cut or foreign key is believed", "[view_transfer_codec]") {
-  const Bytes good = encodeViewMessage(kPart, kKey);
-  for (std::size_t index = 0; index < good.size(); ++index) {
-    Bytes changed = good;
-    changed[index] ^= 1;
-    CHECK_FALSE(decodeViewMessage(changed, kKey));
-    CHECK_FALSE(decodeViewMessage(std::span(good).first(index), kKey));
+TEST_CASE("a datagram that is corrupted, truncated or has another key is rejected",
+          "[view_transfer_codec]") {
+  const Bytes encoded = encodeViewMessage(kPart, kKey);
+  for (std::size_t index = 0; index < encoded.size(); ++index) {
+    Bytes corrupted = encoded;
+    corrupted[index] ^= 1;
+    CHECK_FALSE(decodeViewMessage(corrupted, kKey));
+    CHECK_FALSE(decodeViewMessage(std::span(encoded).first(index), kKey));
   }
-  const PeerKey foreign = derivePeerKey(std::array<std::uint8_t, 3>{1, 2, 4});
-  CHECK_FALSE(decodeViewMessage(good, foreign));
+  const PeerKey other_key = derivePeerKey(std::array<std::uint8_t, 3>{1, 2, 4});
+  CHECK_FALSE(decodeViewMessage(encoded, other_key));
   CHECK(decodeViewMessage(Bytes(5000), kKey).error() == CodecError::TooLarge);
 }
 
-TEST_CASE("a body is read as it was written", "[view_transfer_codec]") {
+TEST_CASE("a body is encoded and decoded without loss", "[view_transfer_codec]") {
   const ViewBody body{
       {{{"a", "value", 7, 3}, false}, {{"b", "", 9, 0}, true}}, 9, true, {KnownPeer({1, 2}, 7)}};
-  const auto read = decodeViewBody(encodeViewBody(body));
-  REQUIRE(read);
-  REQUIRE(read.value().changes.size() == 2);
-  CHECK(read.value().changes[0].item.key == "a");
-  CHECK(read.value().changes[0].item.value == "value");
-  CHECK(read.value().changes[0].item.revision == 7);
-  CHECK(read.value().changes[0].item.created == 3);
-  CHECK(read.value().changes[1].deleted);
-  CHECK(read.value().at == 9);
-  CHECK(read.value().is_full_view);
-  CHECK(read.value().peers == std::vector<KnownPeer>{KnownPeer({1, 2}, 7)});
+  const auto decoded = decodeViewBody(encodeViewBody(body));
+  REQUIRE(decoded);
+  REQUIRE(decoded.value().changes.size() == 2);
+  CHECK(decoded.value().changes[0].item.key == "a");
+  CHECK(decoded.value().changes[0].item.value == "value");
+  CHECK(decoded.value().changes[0].item.revision == 7);
+  CHECK(decoded.value().changes[0].item.created == 3);
+  CHECK(decoded.value().changes[1].deleted);
+  CHECK(decoded.value().at == 9);
+  CHECK(decoded.value().is_full_view);
+  CHECK(decoded.value().peers == std::vector<KnownPeer>{KnownPeer({1, 2}, 7)});
   CHECK(decodeViewBody(encodeViewBody({})));
 }
 
-TEST_CASE("a server takes at most 40 bytes of a view", "[view_transfer_codec]") {
-  for (const std::size_t servers : {600U, 14000U}) {
-    const std::size_t bytes = encodeViewBody(viewOf(servers)).size();
-    INFO(servers << " servers take " << bytes << " bytes");
-    CHECK(bytes <= 40 * servers);
+TEST_CASE("a backend takes at most 40 bytes of a compressed view", "[view_transfer_codec]") {
+  for (const std::size_t backend_count : {600U, 14000U}) {
+    const std::size_t bytes = encodeViewBody(makeView(backend_count)).size();
+    INFO(backend_count << " backends take " << bytes << " bytes");
+    CHECK(bytes <= 40 * backend_count);
     CHECK(bytes <= kMaxBodyBytes);
   }
 }
 
-/** The same view, of servers that were started within a time before one of their starts. */
-ViewBody viewWithStarts(std::size_t servers, std::uint64_t within_ms) {
+/** The same view with random start times within an interval before a fixed time. */
+ViewBody makeViewWithStartTimes(std::size_t backend_count, std::uint64_t within_ms) {
   const auto random = makeSeededRandom(8);
-  ViewBody body = viewOf(servers);
+  ViewBody body = makeView(backend_count);
   for (ItemChange& change : body.changes) {
     insertStartTime(1'764'700'000'000 - random->below(within_ms), change.item.value);
   }
   return body;
 }
 
-TEST_CASE("a server's start takes at most four bytes of a view, and comes back",
+TEST_CASE("a start time takes at most four bytes of a compressed view and is decoded unchanged",
           "[view_transfer_codec]") {
-  constexpr std::uint64_t kDay = 86'400'000;
-  constexpr std::size_t kServers = 14000;
-  const std::size_t without = encodeViewBody(viewOf(kServers)).size();
-  for (const std::uint64_t within : {std::uint64_t{1}, std::uint64_t{20'000}, kDay, 49 * kDay}) {
-    const ViewBody body = viewWithStarts(kServers, within);
+  constexpr std::uint64_t kDayMs = 86'400'000;
+  constexpr std::size_t kBackendCount = 14000;
+  const std::size_t without_start_times = encodeViewBody(makeView(kBackendCount)).size();
+  for (const std::uint64_t within_ms :
+       {std::uint64_t{1}, std::uint64_t{20'000}, kDayMs, 49 * kDayMs}) {
+    const ViewBody body = makeViewWithStartTimes(kBackendCount, within_ms);
     const Bytes encoded = encodeViewBody(body);
-    INFO("starts within " << within << " ms take " << encoded.size() - without << " bytes");
-    // LZ4 adds a byte to 255 that it can't pack.
-    CHECK(encoded.size() <= without + 4 * kServers * 256 / 255 + 100);
-    const auto read = decodeViewBody(encoded);
-    REQUIRE(read);
-    for (std::size_t index = 0; index < kServers; ++index) {
-      REQUIRE(read.value().changes[index].item.value == body.changes[index].item.value);
+    INFO("start times within " << within_ms << " ms take " << encoded.size() - without_start_times
+                               << " bytes");
+    // LZ4 adds one byte per 255 bytes that it can't compress.
+    CHECK(encoded.size() <= without_start_times + 4 * kBackendCount * 256 / 255 + 100);
+    const auto decoded = decodeViewBody(encoded);
+    REQUIRE(decoded);
+    for (std::size_t index = 0; index < kBackendCount; ++index) {
+      REQUIRE(decoded.value().changes[index].item.value == body.changes[index].item.value);
     }
   }
 }
 
-TEST_CASE("starts that are not known stay unknown beside others", "[view_transfer_codec]") {
-  ViewBody body = viewWithStarts(3, 1000);
+TEST_CASE("an unknown start time stays unknown among known ones", "[view_transfer_codec]") {
+  ViewBody body = makeViewWithStartTimes(3, 1000);
   extractStartTime(body.changes[1].item.value);
   body.changes.push_back({{"gone", "", 9, 0}, true});
-  const auto read = decodeViewBody(encodeViewBody(body));
-  REQUIRE(read);
+  const auto decoded = decodeViewBody(encodeViewBody(body));
+  REQUIRE(decoded);
   for (std::size_t index = 0; index < body.changes.size(); ++index) {
-    CHECK(read.value().changes[index].item.value == body.changes[index].item.value);
+    CHECK(decoded.value().changes[index].item.value == body.changes[index].item.value);
   }
 }
 
-/** A view's body as balancers without knowledge of starts read it. */
-struct PlainBody {
+/** View body in the format of balancers without support for start times. */
+struct BodyWithoutStartTimes {
   struct Change {
     std::string key;
     message_codec::BinaryText value;
@@ -173,46 +177,47 @@
   auto fields() { return std::tie(changes, at, is_full_view, peers); }
 };
 
-TEST_CASE("balancers without knowledge of starts read the body before them",
+TEST_CASE("balancers without support for start times decode a body that has them",
           "[view_transfer_codec]") {
-  constexpr std::size_t kHeadBytes = 5;
-  const Bytes encoded = encodeViewBody(viewWithStarts(5, 1000));
+  constexpr std::size_t kBodyHeaderBytes = 5;
+  const Bytes encoded = encodeViewBody(makeViewWithStartTimes(5, 1000));
   Bytes plain(100'000);
-  const int size = LZ4_decompress_safe(reinterpret_cast<const char*>(encoded.data()) + kHeadBytes,
-                                       reinterpret_cast<char*>(plain.data()),
-                                       static_cast<int>(encoded.size() - kHeadBytes),
-                                       static_cast<int>(plain.size()));
+  const int size = LZ4_decompress_safe(
+      reinterpret_cast<const char*>(encoded.data()) + kBodyHeaderBytes,
+      reinterpret_cast<char*>(plain.data()), static_cast<int>(encoded.size() - kBodyHeaderBytes),
+      static_cast<int>(plain.size()));
   REQUIRE(size > 0);
   plain.resize(static_cast<std::size_t>(size));
-  // As they do it: what follows the first msgpack value is not looked at.
+  // Same as in those versions: data after the first msgpack value is ignored.
   const auto handle = msgpack::unpack(reinterpret_cast<const char*>(plain.data()), plain.size());
-  PlainBody body;
+  BodyWithoutStartTimes body;
   REQUIRE(message_codec::unpackValue(handle.get(), body));
-  const ViewBody without = viewOf(5);
+  const ViewBody without_start_times = makeView(5);
   REQUIRE(body.changes.size() == 5);
   for (std::size_t index = 0; index < 5; ++index) {
-    CHECK(body.changes[index].value.text == without.changes[index].item.value);
+    CHECK(body.changes[index].value.text == without_start_times.changes[index].item.value);
   }
 }
 
-TEST_CASE("a body of a balancer without knowledge of starts tells none", "[view_transfer_codec]") {
-  auto read = decodeViewBody(encodeViewBody(viewOf(5)));
-  REQUIRE(read);
-  CHECK(extractStartTime(read.value().changes[0].item.value) == 0);
+TEST_CASE("a body of a balancer without support for start times has none",
+          "[view_transfer_codec]") {
+  auto decoded = decodeViewBody(encodeViewBody(makeView(5)));
+  REQUIRE(decoded);
+  CHECK(extractStartTime(decoded.value().changes[0].item.value) == 0);
 }
 
-TEST_CASE("a body that is cut, changed in size or of another version is refused",
+TEST_CASE("a body that is truncated, or has a wrong size or version, is rejected",
           "[view_transfer_codec]") {
-  const Bytes good = encodeViewBody(viewOf(5));
-  for (std::size_t size = 0; size < good.size(); ++size) {
-    CHECK_FALSE(decodeViewBody(Bytes(good.begin(), good.begin() + static_cast<long>(size))));
+  const Bytes encoded = encodeViewBody(makeView(5));
+  for (std::size_t size = 0; size < encoded.size(); ++size) {
+    CHECK_FALSE(decodeViewBody(Bytes(encoded.begin(), encoded.begin() + static_cast<long>(size))));
   }
   for (std::size_t index = 0; index < 5; ++index) {
-    Bytes changed = good;
-    changed[index] ^= 0x40;
-    CHECK_FALSE(decodeViewBody(changed));
+    Bytes corrupted = encoded;
+    corrupted[index] ^= 0x40;
+    CHECK_FALSE(decodeViewBody(corrupted));
   }
-  // Claims to unpack to far more than LZ4 can pack into so few bytes.
+  // Claims an uncompressed size that LZ4 can't reach with so few bytes.
   CHECK(decodeViewBody({1, 0, 0, 0x80, 0, 0}).error() == CodecError::TooLarge);
 }
 
