--- a/src/discovery/evidence_collector.cc
+++ b/src/discovery/evidence_collector.cc
@@ -28,21 +28,21 @@
 
 /** @return the values that receivers decide by; a backend is sent again when they change. */
 std::tuple<int, bool, int> decisiveCounts(const SummedSilence& summed) {
-  const bool has_flows = summed.seen.flows >= kDecisiveFlows;
+  const bool has_flows = summed.silence.flows >= kDecisiveFlows;
   return {std::min(summed.reporters, kDecisiveReporters), has_flows,
-          has_flows ? std::min(summed.seen.repetitions, kDecisiveRetransmissions) : 0};
+          has_flows ? std::min(summed.silence.retransmissions, kDecisiveRetransmissions) : 0};
 }
 
 }  // namespace
 
 std::size_t wireBytesOf(const EvidenceDigest& digest) {
   return kHeaderBytes + digest.zone.size() + digest.silent.size() * SummedSilence::kPackedBytes +
-         digest.alive.size() * ServerLife::kPackedBytes;
+         digest.alive.size() * BackendLiveness::kPackedBytes;
 }
 
 std::size_t wireBytesOf(const EvidenceReport& report) {
-  return kHeaderBytes + report.zone.size() + report.silent.size() * ServerSilence::kPackedBytes +
-         report.alive.size() * ServerLife::kPackedBytes;
+  return kHeaderBytes + report.zone.size() + report.silent.size() * BackendSilence::kPackedBytes +
+         report.alive.size() * BackendLiveness::kPackedBytes;
 }
 
 void EvidenceCollector::onReport(const EvidenceReport& report, Endpoint from) {
@@ -58,12 +58,12 @@
 
 void EvidenceCollector::addReport(const EvidenceReport& report, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
-  if (report.survived_repetitions >= answered_retransmissions_ ||
+  if (report.survived_retransmissions >= answered_retransmissions_ ||
       now - answered_retransmissions_at_ > kRetransmissionsTtl) {
-    answered_retransmissions_ = report.survived_repetitions;
+    answered_retransmissions_ = report.survived_retransmissions;
     answered_retransmissions_at_ = now;
   }
-  for (const ServerLife& alive : report.alive) {
+  for (const BackendLiveness& alive : report.alive) {
     recordLife(alive.backend, fromWireAge(now, alive.age_ms));
   }
   if (hasFailedPath(report)) {
@@ -71,14 +71,14 @@
     excludeReporter(from);
     return;
   }
-  for (const ServerSilence& silent : report.silent) {
+  for (const BackendSilence& silent : report.silent) {
     recordSilence(silent, from);
   }
 }
 
 bool EvidenceCollector::hasFailedPath(const EvidenceReport& report) const {
-  return report.servers_in_use >= settings_.min_backends_in_use &&
-         report.servers_silent > settings_.max_silent_fraction * report.servers_in_use;
+  return report.backends_in_use >= settings_.min_backends_in_use &&
+         report.silent_backends > settings_.max_silent_fraction * report.backends_in_use;
 }
 
 void EvidenceCollector::excludeReporter(Endpoint reporter) {
@@ -90,16 +90,16 @@
               {"cause", "reports most backends of its zone as silent"}});
 }
 
-void EvidenceCollector::recordSilence(const ServerSilence& silent, Endpoint from) {
+void EvidenceCollector::recordSilence(const BackendSilence& silent, Endpoint from) {
   const MonotonicTime now = time_source_.monotonicTime();
   const MonotonicTime attempt_at = fromWireAge(now, silent.attempt_age_ms);
   if (attempt_at == MonotonicTime() || now - attempt_at > settings_.report_ttl) {
     return;
   }
-  if (silent.life_age_ms != kNeverMilliseconds) {
-    recordLife(silent.backend, fromWireAge(now, silent.life_age_ms));
+  if (silent.liveness_age_ms != kNeverMs) {
+    recordLife(silent.backend, fromWireAge(now, silent.liveness_age_ms));
   }
-  backends_[silent.backend].by_reporter[from] = {silent.flows, silent.repetitions, attempt_at};
+  backends_[silent.backend].by_reporter[from] = {silent.flows, silent.retransmissions, attempt_at};
 }
 
 void EvidenceCollector::recordLife(BackendId backend, MonotonicTime life_at) {
@@ -127,12 +127,12 @@
 SummedSilence EvidenceCollector::sumReports(BackendId backend, const BackendEvidence& evidence,
                                             MonotonicTime& attempt_at) const {
   SummedSilence summed;
-  summed.seen.backend = backend;
+  summed.silence.backend = backend;
   for (const auto& [reporter, seen] : evidence.by_reporter) {
     summed.reporters = std::min<std::uint8_t>(kMaxCount, summed.reporters + 1);
-    summed.seen.flows =
-        static_cast<std::uint8_t>(std::min<int>(kMaxCount, summed.seen.flows + seen.flows));
-    summed.seen.repetitions = std::max(summed.seen.repetitions, seen.repetitions);
+    summed.silence.flows =
+        static_cast<std::uint8_t>(std::min<int>(kMaxCount, summed.silence.flows + seen.flows));
+    summed.silence.retransmissions = std::max(summed.silence.retransmissions, seen.repetitions);
     attempt_at = std::max(attempt_at, seen.attempt_at);
   }
   return summed;
@@ -170,12 +170,12 @@
     return;
   }
   digest.zone = zone_;
-  digest.survived_repetitions = answered_retransmissions_;
+  digest.survived_retransmissions = answered_retransmissions_;
   const double backend_bytes =
       std::max(0.0, subscriber.available_bytes - static_cast<double>(wireBytesOf(digest)));
   const auto max_backends = static_cast<std::size_t>(backend_bytes / SummedSilence::kPackedBytes);
   subscriber.version =
-      addChangesAfter(subscriber.version, std::min(max_backends, kMaxServersInEvidence), digest);
+      addChangesAfter(subscriber.version, std::min(max_backends, kMaxBackendsInEvidence), digest);
   if (digest.silent.empty() && digest.alive.empty() && !subscriber.answer_pending) {
     return;
   }
@@ -225,8 +225,8 @@
   }
   MonotonicTime attempt_at;
   SummedSilence summed = sumReports(backend, evidence, attempt_at);
-  summed.seen.attempt_age_ms = toWireAge(now, attempt_at);
-  summed.seen.life_age_ms = toWireAge(now, evidence.life_at);
+  summed.silence.attempt_age_ms = toWireAge(now, attempt_at);
+  summed.silence.liveness_age_ms = toWireAge(now, evidence.life_at);
   digest.silent.push_back(summed);
 }
 
--- a/src/discovery/evidence_collector.h
+++ b/src/discovery/evidence_collector.h
@@ -120,7 +120,7 @@
   bool hasFailedPath(const EvidenceReport& report) const;
   /** Removes all observations of the reporter and logs it. */
   void excludeReporter(Endpoint reporter);
-  void recordSilence(const ServerSilence& silent, Endpoint from);
+  void recordSilence(const BackendSilence& silent, Endpoint from);
   void recordLife(BackendId backend, MonotonicTime life_at);
   void updateVersions();
   SummedSilence sumReports(BackendId backend, const BackendEvidence& evidence,
--- a/src/flow/evidence_reporter.cc
+++ b/src/flow/evidence_reporter.cc
@@ -39,7 +39,7 @@
     return std::nullopt;
   }
   report.zone = zone_;
-  report.survived_repetitions = static_cast<std::uint8_t>(
+  report.survived_retransmissions = static_cast<std::uint8_t>(
       std::min<std::size_t>(local_.survivedRetransmissions(), kMaxReportedCount));
   addUsage(report);
   return report;
@@ -60,7 +60,7 @@
   const std::vector<SilenceObservation> observations = local_.observations();
   std::unordered_map<BackendId, SilenceObservation> reported;
   for (const SilenceObservation& seen : observations) {
-    const bool is_reported = isNew(seen) && report.silent.size() < kMaxServersInEvidence;
+    const bool is_reported = isNew(seen) && report.silent.size() < kMaxBackendsInEvidence;
     if (is_reported) {
       report.silent.push_back(
           {seen.backend, static_cast<std::uint8_t>(std::min(seen.flows, kMaxReportedCount)),
@@ -97,7 +97,7 @@
   const MonotonicTime now = time_source_.monotonicTime();
   for (const ZoneId zone : shared_.suspectZones()) {
     const MonotonicTime objected_at = std::max(objected_at_[zone], shared_.lastObjectionAt(zone));
-    const bool is_full = report.alive.size() >= kMaxServersInEvidence;
+    const bool is_full = report.alive.size() >= kMaxBackendsInEvidence;
     if (is_full || now - objected_at < settings_.min_objection_interval) {
       continue;
     }
@@ -127,7 +127,7 @@
   const auto last_reported = progress_reported_at_.find(backend);
   const bool is_new = last_reported == progress_reported_at_.end() ||
                       progress_at - last_reported->second > settings_.min_progress_interval;
-  if (is_new && report.alive.size() < kMaxServersInEvidence) {
+  if (is_new && report.alive.size() < kMaxBackendsInEvidence) {
     progress_reported_at_[backend] = progress_at;
     report.alive.push_back({backend, toWireAge(time_source_.monotonicTime(), progress_at)});
   }
@@ -139,14 +139,14 @@
   for (const BackendId backend : local_.usedWithin(settings_.in_use_window)) {
     const bool is_silent = local_.isSuspect(backend);
     const bool is_local = zone_id_ && shared_.zoneOf(backend) == *zone_id_;
-    report.servers_in_use += is_local ? 1 : 0;
-    report.servers_silent += is_local && is_silent ? 1 : 0;
+    report.backends_in_use += is_local ? 1 : 0;
+    report.silent_backends += is_local && is_silent ? 1 : 0;
     ++in_use;
     silent += is_silent ? 1 : 0;
   }
-  if (report.servers_in_use == 0) {
-    report.servers_in_use = in_use;
-    report.servers_silent = silent;
+  if (report.backends_in_use == 0) {
+    report.backends_in_use = in_use;
+    report.silent_backends = silent;
   }
 }
 
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -22,14 +22,14 @@
 
 std::uint16_t toWireAge(MonotonicTime now, MonotonicTime time) {
   if (time == MonotonicTime()) {
-    return kNeverMilliseconds;
+    return kNeverMs;
   }
   const std::int64_t age_ms = std::max<std::int64_t>(0, toMilliseconds(now - time));
-  return static_cast<std::uint16_t>(std::min<std::int64_t>(age_ms, kNeverMilliseconds - 1));
+  return static_cast<std::uint16_t>(std::min<std::int64_t>(age_ms, kNeverMs - 1));
 }
 
 MonotonicTime fromWireAge(MonotonicTime now, std::uint16_t age_ms) {
-  return age_ms == kNeverMilliseconds ? MonotonicTime() : now - milliseconds(age_ms);
+  return age_ms == kNeverMs ? MonotonicTime() : now - milliseconds(age_ms);
 }
 
 void SharedEvidence::onConfigurationChanged(const ConfigurationChanges& changes,
@@ -69,16 +69,16 @@
 
 void SharedEvidence::onDigest(const EvidenceDigest& digest) {
   const MonotonicTime now = time_source_.monotonicTime();
-  for (const ServerLife& alive : digest.alive) {
+  for (const BackendLiveness& alive : digest.alive) {
     recordProgress(alive.backend, fromWireAge(now, alive.age_ms));
     if (const auto zone = zoneOf(alive.backend)) {
       objections_[*zone] = std::max(objections_[*zone], fromWireAge(now, alive.age_ms));
     }
   }
   for (const SummedSilence& summed : digest.silent) {
-    const ServerSilence& seen = summed.seen;
-    if (seen.life_age_ms != kNeverMilliseconds) {
-      recordProgress(seen.backend, fromWireAge(now, seen.life_age_ms));
+    const BackendSilence& seen = summed.silence;
+    if (seen.liveness_age_ms != kNeverMs) {
+      recordProgress(seen.backend, fromWireAge(now, seen.liveness_age_ms));
     }
     const auto [entry, is_new] = reported_.try_emplace(seen.backend);
     ReportedSilence& reported = entry->second;
@@ -89,15 +89,16 @@
     // Several balancers may send digests; the highest counts apply.
     reported.reporters = std::max<std::size_t>(reported.reporters, summed.reporters);
     reported.flows = std::max<std::size_t>(reported.flows, seen.flows);
-    reported.retransmissions = std::max<std::uint16_t>(reported.retransmissions, seen.repetitions);
+    reported.retransmissions =
+        std::max<std::uint16_t>(reported.retransmissions, seen.retransmissions);
     reported.last_attempt_at =
         std::max(reported.last_attempt_at, fromWireAge(now, seen.attempt_age_ms));
   }
   const bool is_expired = now - reported_survived_at_ > kSurvivedRetransmissionsTtl;
   const bool is_more =
-      digest.survived_repetitions >= reported_survived_retransmissions_ || is_expired;
-  if (digest.survived_repetitions > 0 && is_more) {
-    reported_survived_retransmissions_ = digest.survived_repetitions;
+      digest.survived_retransmissions >= reported_survived_retransmissions_ || is_expired;
+  if (digest.survived_retransmissions > 0 && is_more) {
+    reported_survived_retransmissions_ = digest.survived_retransmissions;
     reported_survived_at_ = now;
   }
   refresh();
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -326,7 +326,7 @@
   PacketNodeHarness harness(settings);
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server"),
                 item("backends/b", 4, "server"), item("backends/c", 5, "server")});
-  const ServerSilence silent_backend{backendIdOfServer('a'), 1, 0, 50, kNeverMilliseconds};
+  const BackendSilence silent_backend{backendIdOfServer('a'), 1, 0, 50, kNeverMs};
   harness.node.sharedEvidence().onDigest({"lac", 0, {{2, silent_backend}}, {}});
   for (std::uint16_t port = 1; port <= 60; ++port) {
     harness.open(port);
--- a/tests/discovery/evidence_collector_test.cc
+++ b/tests/discovery/evidence_collector_test.cc
@@ -17,7 +17,7 @@
                         std::uint16_t attempt_age_ms = 50) {
   EvidenceReport report{"lac", 10, 1, 0, {}, {}};
   for (const std::uint32_t backend : backends) {
-    report.silent.push_back({BackendId(backend), 1, 0, attempt_age_ms, kNeverMilliseconds});
+    report.silent.push_back({BackendId(backend), 1, 0, attempt_age_ms, kNeverMs});
   }
   return report;
 }
@@ -49,17 +49,17 @@
   harness.collector.onReport(reportOf({5}), kFirst);
   EvidenceReport later = reportOf({5}, 10);
   later.silent[0].flows = 3;
-  later.silent[0].repetitions = 2;
-  later.silent[0].life_age_ms = 700;
-  later.survived_repetitions = 4;
+  later.silent[0].retransmissions = 2;
+  later.silent[0].liveness_age_ms = 700;
+  later.survived_retransmissions = 4;
   harness.collector.onReport(later, kSecond);
   const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest);
   CHECK(digest->zone == "lac");
-  CHECK(digest->survived_repetitions == 4);
+  CHECK(digest->survived_retransmissions == 4);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 2);
-  CHECK(digest->silent[0].seen == ServerSilence{BackendId(5), 4, 2, 210, 900});
+  CHECK(digest->silent[0].silence == BackendSilence{BackendId(5), 4, 2, 210, 900});
 }
 
 TEST_CASE("a reporter that reports repeatedly counts once", "[evidence_collector]") {
@@ -75,16 +75,16 @@
   harness.collector.onReport(reportOf({5, 6}), kFirst);
   harness.collector.onReport(reportOf({5}), kSecond);
   EvidenceReport overloaded = reportOf({5, 6, 7, 8, 9, 10});
-  overloaded.servers_silent = 6;
+  overloaded.silent_backends = 6;
   harness.collector.onReport(overloaded, kFirst);
   CHECK(harness.collector.counters().reports_excluded == 1);
   const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest->silent.size() == 1);
   CHECK(digest->silent[0].reporters == 1);
-  CHECK(digest->silent[0].seen.backend == BackendId(5));
+  CHECK(digest->silent[0].silence.backend == BackendId(5));
   // Its signs of life of backends still count.
   EvidenceReport answered = lifeReport(5, 0);
-  answered.servers_silent = 6;
+  answered.silent_backends = 6;
   harness.collector.onReport(answered, kFirst);
   CHECK(harness.digestFor(kSecond)->silent.empty());
 }
@@ -99,7 +99,7 @@
   const auto digest = harness.digestFor(kFirst);
   REQUIRE(digest);
   CHECK(digest->silent.empty());
-  CHECK(digest->alive == std::vector<ServerLife>{{BackendId(5), 230}});
+  CHECK(digest->alive == std::vector<BackendLiveness>{{BackendId(5), 230}});
   CHECK_FALSE(harness.digestFor(kFirst));
 }
 
@@ -119,7 +119,7 @@
   CHECK(harness.digestFor(kFirst)->silent.size() == 1);
   CHECK_FALSE(harness.digestFor(kFirst));
   harness.collector.onReport(reportOf({6}), kSecond);
-  CHECK(harness.digestFor(kFirst)->silent.at(0).seen.backend == BackendId(6));
+  CHECK(harness.digestFor(kFirst)->silent.at(0).silence.backend == BackendId(6));
   CHECK(harness.digestFor(kSecond) == std::nullopt);
   harness.collector.onReport({"lac", 10, 0, 0, {}, {}}, kFirst);
   CHECK(harness.digestFor(kFirst)->silent.empty());
@@ -139,23 +139,23 @@
   std::set<BackendId> named;
   for (std::uint32_t reporter = 0; reporter < 4; ++reporter) {
     std::vector<std::uint32_t> backends;
-    for (std::uint32_t backend = 1; backend <= kMaxServersInEvidence; ++backend) {
+    for (std::uint32_t backend = 1; backend <= kMaxBackendsInEvidence; ++backend) {
       backends.push_back(100 * reporter + backend);
     }
     harness.collector.onReport(reportOf(backends), {10 + reporter, 1});
   }
   for (int round = 0; round < 15; ++round) {
     if (const auto digest = harness.digestFor({10, 1})) {
-      CHECK(digest->silent.size() <= kMaxServersInEvidence);
+      CHECK(digest->silent.size() <= kMaxBackendsInEvidence);
       for (const SummedSilence& summed : digest->silent) {
-        named.insert(summed.seen.backend);
+        named.insert(summed.silence.backend);
       }
     }
     for (std::uint32_t reporter = 1; reporter < 4; ++reporter) {
       harness.collector.onReport(reportOf({100 * reporter + 1}), {10 + reporter, 1});
     }
   }
-  CHECK(named.size() > kMaxServersInEvidence);
+  CHECK(named.size() > kMaxBackendsInEvidence);
 }
 
 TEST_CASE("a balancer that stops reporting gets no more digests", "[evidence_collector]") {
--- a/tests/discovery/view_provider_test.cc
+++ b/tests/discovery/view_provider_test.cc
@@ -76,7 +76,7 @@
   harness.directory.onAnswer(balancer(5));
   harness.sendRequest(7);
   const ViewBody body = harness.bodyFor(7);
-  CHECK(body.is_whole);
+  CHECK(body.is_full_view);
   CHECK(body.at == 10);
   REQUIRE(body.changes.size() == 1);
   CHECK(body.changes[0].item.key == "a");
@@ -92,7 +92,7 @@
   harness.content.setPosition(12);
   harness.sendRequest(7, 10);
   const ViewBody changes = harness.bodyFor(7);
-  CHECK_FALSE(changes.is_whole);
+  CHECK_FALSE(changes.is_full_view);
   CHECK(changes.at == 12);
   REQUIRE(changes.changes.size() == 1);
   CHECK(changes.changes[0].item.key == "b");
@@ -120,7 +120,7 @@
   CHECK(std::get<ViewRefusal>(waiting[0]).is_queued);
   harness.serves = true;
   harness.provider.onViewReady();
-  CHECK(harness.bodyFor(7).is_whole);
+  CHECK(harness.bodyFor(7).is_full_view);
   harness.provider.onViewReady();
   CHECK(harness.sent[socketOf(7)].empty());
 }
@@ -161,7 +161,7 @@
   const auto sent = harness.takeSent(7);
   REQUIRE(sent.size() == 1);
   CHECK_FALSE(std::get<ViewRefusal>(sent.front()).is_queued);
-  CHECK(std::get<ViewRefusal>(sent.front()).others == std::vector<Endpoint>{balancer(8)});
+  CHECK(std::get<ViewRefusal>(sent.front()).alternatives == std::vector<Endpoint>{balancer(8)});
   harness.time.elapsed += seconds(3);
   harness.sendRequest(9);
   CHECK(std::get<ViewRefusal>(harness.takeSent(9).front()).is_queued);
@@ -233,9 +233,9 @@
       waiting.insert(number);
       continue;
     }
-    REQUIRE(refusal.others.size() == 1);
-    CHECK(refusal.others.front().address < number);
-    ++referrals[refusal.others.front()];
+    REQUIRE(refusal.alternatives.size() == 1);
+    CHECK(refusal.alternatives.front().address < number);
+    ++referrals[refusal.alternatives.front()];
   }
   // Four copies of 10 ms each exceed the permitted backlog of 30 ms.
   CHECK(served >= 3);
@@ -254,7 +254,7 @@
   CHECK(harness.provider.counters().queued == waiting.size());
   harness.scheduler.advance(milliseconds(400));
   for (const std::uint32_t number : waiting) {
-    CHECK(harness.bodyFor(number).is_whole);
+    CHECK(harness.bodyFor(number).is_full_view);
   }
   // Small changes are always sent.
   harness.sendRequest(50, 20);
@@ -280,8 +280,9 @@
     const auto messages = harness.takeSent(number);
     const bool has_messages = !messages.empty();
     const auto* refusal = has_messages ? std::get_if<ViewRefusal>(&messages.front()) : nullptr;
-    if (refusal != nullptr && !refusal->others.empty()) {
-      (refusal->others.front().address % 10 == 0 ? referrals_to_fast : referrals_to_slow) += 1;
+    if (refusal != nullptr && !refusal->alternatives.empty()) {
+      (refusal->alternatives.front().address % 10 == 0 ? referrals_to_fast : referrals_to_slow) +=
+          1;
     }
   }
   CHECK(referrals_to_fast > 25);
@@ -301,13 +302,14 @@
         {requester, balancer(requester), 0, 0, 0, kAllParts, linkClassOf(20)}, socketOf(requester));
     const auto messages = harness.takeSent(requester);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    referred_sender =
-        refusal != nullptr && !refusal->others.empty() ? refusal->others.front() : Endpoint();
+    referred_sender = refusal != nullptr && !refusal->alternatives.empty()
+                          ? refusal->alternatives.front()
+                          : Endpoint();
   }
   // Retransmission of the same request, as after a lost answer.
   const ViewRequest request{requester, balancer(requester), 0, 0, 0, kAllParts, linkClassOf(20)};
   harness.provider.onRequest(request, socketOf(requester));
-  CHECK(std::get<ViewRefusal>(harness.takeSent(requester).front()).others.front() ==
+  CHECK(std::get<ViewRefusal>(harness.takeSent(requester).front()).alternatives.front() ==
         referred_sender);
   for (std::uint32_t attempt = 0; attempt < 5; ++attempt) {
     ViewRequest repeated = request;
@@ -315,8 +317,8 @@
     harness.provider.onRequest(repeated, socketOf(requester));
     const auto messages = harness.takeSent(requester);
     const auto* refusal = std::get_if<ViewRefusal>(&messages.front());
-    CHECK((refusal == nullptr || refusal->others.empty() ||
-           refusal->others.front() != referred_sender));
+    CHECK((refusal == nullptr || refusal->alternatives.empty() ||
+           refusal->alternatives.front() != referred_sender));
   }
 }
 
@@ -334,8 +336,8 @@
     }
     const auto& refusal = std::get<ViewRefusal>(messages.front());
     CHECK(refusal.status.serves_view);
-    REQUIRE(refusal.others.size() == 1);
-    CHECK(refusal.others.front() != balancer(number));
+    REQUIRE(refusal.alternatives.size() == 1);
+    CHECK(refusal.alternatives.front() != balancer(number));
   }
   // Four copies of 10 ms each exceed the permitted backlog of 30 ms.
   CHECK(served >= 3);
--- a/tests/flow/evidence_fixture.h
+++ b/tests/flow/evidence_fixture.h
@@ -42,8 +42,7 @@
     EvidenceDigest digest;
     for (const std::uint32_t backend : backends) {
       digest.silent.push_back(
-          {reporters,
-           {BackendId(backend), flows, retransmissions, attempt_age_ms, kNeverMilliseconds}});
+          {reporters, {BackendId(backend), flows, retransmissions, attempt_age_ms, kNeverMs}});
     }
     shared.onDigest(digest);
   }
--- a/tests/flow/evidence_reporter_test.cc
+++ b/tests/flow/evidence_reporter_test.cc
@@ -39,9 +39,9 @@
   const auto first = harness.node.reporter.next();
   REQUIRE(first);
   CHECK(first->zone == "lac");
-  CHECK(first->silent == std::vector<ServerSilence>{{BackendId(5), 1, 1, 50, 450}});
-  CHECK(first->servers_in_use == 1);
-  CHECK(first->servers_silent == 1);
+  CHECK(first->silent == std::vector<BackendSilence>{{BackendId(5), 1, 1, 50, 450}});
+  CHECK(first->backends_in_use == 1);
+  CHECK(first->silent_backends == 1);
   CHECK_FALSE(harness.node.reporter.next());
   harness.node.recordUnanswered(5, 2);
   CHECK(harness.node.reporter.next()->silent.at(0).flows == 2);
@@ -60,8 +60,7 @@
   harness.time.elapsed += milliseconds(50);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->silent ==
-        std::vector<ServerSilence>{{BackendId(5), 0, 0, 150, kNeverMilliseconds}});
+  CHECK(report->silent == std::vector<BackendSilence>{{BackendId(5), 0, 0, 150, kNeverMs}});
 }
 
 TEST_CASE("backend that answers again is reported", "[evidence_reporter]") {
@@ -80,7 +79,7 @@
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
   CHECK(report->silent.empty());
-  CHECK(report->alive == std::vector<ServerLife>{{BackendId(5), 20}});
+  CHECK(report->alive == std::vector<BackendLiveness>{{BackendId(5), 20}});
   CHECK_FALSE(harness.node.reporter.next());
 }
 
@@ -92,7 +91,7 @@
   harness.time.elapsed += milliseconds(10);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->alive == std::vector<ServerLife>{{BackendId(20), 10}});
+  CHECK(report->alive == std::vector<BackendLiveness>{{BackendId(20), 10}});
   harness.time.elapsed += milliseconds(100);
   harness.node.recordAnswer(19);
   CHECK_FALSE(harness.node.reporter.next());
@@ -121,8 +120,8 @@
   harness.node.recordUnanswered(13);
   const auto report = harness.node.reporter.next();
   REQUIRE(report);
-  CHECK(report->servers_in_use == 2);
-  CHECK(report->servers_silent == 1);
+  CHECK(report->backends_in_use == 2);
+  CHECK(report->silent_backends == 1);
 }
 
 }  // namespace
--- a/tests/flow/flow_router_test.cc
+++ b/tests/flow/flow_router_test.cc
@@ -145,7 +145,7 @@
       const auto forward = harness.takeOnly<Forward>();
       REQUIRE(forward);
       CHECK(harness.last_destination == addressOf(forward->backend.value()));
-      CHECK(forward->caller == kClient);
+      CHECK(forward->client == kClient);
       CHECK(forward->service == ServiceId(1));
       CHECK(forward->mode == ForwardMode::MayStart);
       CHECK(forward->datagram == encodeDatagram(data));
@@ -181,7 +181,7 @@
     harness.receive(Sprayed{kClient, encodeDatagram(datagram)}, kUnknownEndpoint);
     const auto forward = harness.takeOnly<Forward>();
     REQUIRE(forward);
-    CHECK(forward->caller == kClient);
+    CHECK(forward->client == kClient);
     CHECK(forward->datagram == encodeDatagram(datagram));
   }
   harness.receive(Answer{kKey, ServiceId(1), BackendId(1), 0, true, {}});
