--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -85,7 +85,7 @@
 }
 
 void PacketNode::connectObservations() {
-  placement_.setColdServerLimit(&cold_limit_);
+  placement_.setColdBackendLimit(&cold_limit_);
   placement_.setLocality(&locality_);
   silence_.setServiceLookup([this](BackendId backend) {
     const ConfigurationView* configuration = decider_.configuration();
--- a/src/discovery/backend_registry.cc
+++ b/src/discovery/backend_registry.cc
@@ -193,7 +193,7 @@
   const std::vector<const std::string*> keys = keys_by_id_[id];
   for (const std::string* key : keys) {
     Entry& entry = backends_.at(*key);
-    const BackendId second = fallbackBackendIdOfServer(entry.record.server_id);
+    const BackendId second = secondaryBackendIdOfServer(entry.record.server_id);
     const bool may_move = key != oldest && entry.id != second;
     if (may_move && !keys_by_id_.contains(second)) {
       reportIdCollision(entry, backends_.at(*oldest), "uses its secondary id");
--- a/src/flow/compact_token.cc
+++ b/src/flow/compact_token.cc
@@ -38,10 +38,10 @@
   return BackendId(static_cast<std::uint32_t>(XXH3_64bits(&server_id, sizeof(server_id))));
 }
 
-BackendId fallbackBackendIdOfServer(std::uint64_t server_id) {
-  constexpr std::uint64_t kFallbackSeed = 2;
+BackendId secondaryBackendIdOfServer(std::uint64_t server_id) {
+  constexpr std::uint64_t kSecondarySeed = 2;
   return BackendId(static_cast<std::uint32_t>(
-      XXH3_64bits_withSeed(&server_id, sizeof(server_id), kFallbackSeed)));
+      XXH3_64bits_withSeed(&server_id, sizeof(server_id), kSecondarySeed)));
 }
 
 }  // namespace lugfork
--- a/src/flow/compact_token.h
+++ b/src/flow/compact_token.h
@@ -48,6 +48,6 @@
 BackendId backendIdOfServer(std::uint64_t server_id);
 
 /** @return the id of a backend in tokens if its first id is already in use by another one. */
-BackendId fallbackBackendIdOfServer(std::uint64_t server_id);
+BackendId secondaryBackendIdOfServer(std::uint64_t server_id);
 
 }  // namespace lugfork
--- a/src/flow/locality_router.cc
+++ b/src/flow/locality_router.cc
@@ -203,7 +203,7 @@
     return;
   }
   const double kept_fraction =
-      settings_.target_utilisation * capacity.local_usable_slots / capacity.demand.busy_slots;
+      settings_.target_utilization * capacity.local_usable_slots / capacity.demand.busy_slots;
   // Negative if the zone has free capacity; the hysteresis takes that into account.
   const double demand_steps = (1 - kept_fraction) / (1 - state.slot_fraction) * kMaxLevel;
   const bool in_band = state.demand_level &&
--- a/src/flow/locality_router.h
+++ b/src/flow/locality_router.h
@@ -51,7 +51,7 @@
    * known. At 0.7 the queueing delay at backends with two slots about equals the service time (0.6
    * times at 0.6, 1.8 times at 0.8); the remaining slots serve flows from other zones.
    */
-  double target_utilisation = 0.7;
+  double target_utilization = 0.7;
   /**
    * Ratio of the remote response time to the service time from which requests count as queued in
    * other zones. If the local zone is then no slower, sending flows there gains nothing.
--- a/src/flow/placement_engine.h
+++ b/src/flow/placement_engine.h
@@ -110,7 +110,7 @@
   void setRequestsInFlight(const RequestsInFlight* in_flight) { in_flight_ = in_flight; }
 
   /** Sets the limit of new flows to cold backends. */
-  void setColdServerLimit(ColdBackendLimit* limit) { cold_limit_ = limit; }
+  void setColdBackendLimit(ColdBackendLimit* limit) { cold_limit_ = limit; }
 
   /** Sets the source of detected backend health; suspect backends are excluded from placement. */
   void setBackendHealth(const BackendHealth* backend_health) { backend_health_ = backend_health; }
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -125,7 +125,7 @@
 void SharedEvidence::refresh() {
   removeExpired();
   updateSuspects();
-  updateZonesOutOfReach();
+  updateUnreachableZones();
 }
 
 void SharedEvidence::removeExpired() {
@@ -170,22 +170,22 @@
   suspects_ = std::move(named);
 }
 
-void SharedEvidence::updateZonesOutOfReach() {
+void SharedEvidence::updateUnreachableZones() {
   std::map<ZoneId, MonotonicTime> zones_out;
   for (const ZoneId zone : suspectZones()) {
     if (isZoneSilent(zone)) {
-      const auto before = zones_out_of_reach_.find(zone);
-      const bool is_new = before == zones_out_of_reach_.end();
+      const auto before = unreachable_zones_.find(zone);
+      const bool is_new = before == unreachable_zones_.end();
       zones_out[zone] = is_new ? time_source_.monotonicTime() : before->second;
     }
   }
-  if (namesOf(zones_out) != namesOf(zones_out_of_reach_)) {
+  if (namesOf(zones_out) != namesOf(unreachable_zones_)) {
     log_.write(LogLevel::Info, "flow", "zones_out_of_reach",
                {{"zones", namesOf(zones_out)},
-                {"zones_before", namesOf(zones_out_of_reach_)},
+                {"zones_before", namesOf(unreachable_zones_)},
                 {"servers_named", static_cast<std::uint64_t>(reported_.size())}});
   }
-  zones_out_of_reach_ = std::move(zones_out);
+  unreachable_zones_ = std::move(zones_out);
 }
 
 std::string SharedEvidence::namesOf(const std::map<ZoneId, MonotonicTime>& zones) const {
@@ -264,11 +264,11 @@
 }
 
 bool SharedEvidence::isInUnreachableZone(BackendId backend) const {
-  if (zones_out_of_reach_.empty()) {
+  if (unreachable_zones_.empty()) {
     return false;
   }
   const auto known = backends_.find(backend);
-  return known != backends_.end() && zones_out_of_reach_.contains(known->second.zone);
+  return known != backends_.end() && unreachable_zones_.contains(known->second.zone);
 }
 
 std::optional<DeathEvidence> SharedEvidence::deathEvidence(BackendId backend,
@@ -284,8 +284,8 @@
 std::optional<DeathEvidence> SharedEvidence::zoneDeathEvidence(
     BackendId backend, std::uint16_t retransmissions) const {
   const auto zone = zoneOf(backend);
-  const auto out = zone ? zones_out_of_reach_.find(*zone) : zones_out_of_reach_.end();
-  if (out == zones_out_of_reach_.end() || retransmissions < retransmissionsToDeclareDead()) {
+  const auto out = zone ? unreachable_zones_.find(*zone) : unreachable_zones_.end();
+  if (out == unreachable_zones_.end() || retransmissions < retransmissionsToDeclareDead()) {
     return std::nullopt;
   }
   const MonotonicTime now = time_source_.monotonicTime();
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -111,7 +111,7 @@
   MonotonicTime lastObjectionAt(ZoneId zone) const;
 
   std::size_t suspectsByPeers() const { return suspects_.size(); }
-  std::size_t zonesOutOfReach() const { return zones_out_of_reach_.size(); }
+  std::size_t unreachableZoneCount() const { return unreachable_zones_.size(); }
 
  private:
   struct KnownBackend {
@@ -136,7 +136,7 @@
   /** Determines the backends that are suspect because of reports, and logs new ones. */
   void updateSuspects();
   /** Determines the zones that are out of reach as a whole, and logs changes. */
-  void updateZonesOutOfReach();
+  void updateUnreachableZones();
   std::string namesOf(const std::map<ZoneId, MonotonicTime>& zones) const;
   std::optional<DeathEvidence> zoneDeathEvidence(BackendId backend,
                                                  std::uint16_t retransmissions) const;
@@ -166,7 +166,7 @@
   MonotonicTime reported_survived_at_;
   std::set<BackendId> suspects_;
   /** Zones that are out of reach, and since when they are considered so. */
-  std::map<ZoneId, MonotonicTime> zones_out_of_reach_;
+  std::map<ZoneId, MonotonicTime> unreachable_zones_;
 };
 
 /** @return the age as encoded in messages; kNeverMilliseconds for an unset time. */
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -240,7 +240,7 @@
                 static_cast<double>(node.sharedEvidence().suspectsByPeers()),
                 {{"seen_by", "others"}});
   page.addGauge("lugfork_zones_out_of_reach", "Zones none of whose servers can be reached.",
-                static_cast<double>(node.sharedEvidence().zonesOutOfReach()));
+                static_cast<double>(node.sharedEvidence().unreachableZoneCount()));
   page.addCounter("lugfork_resets_by_others_total",
                   "Open flows reset by what other balancers have seen.",
                   node.packetCounters().resets_by_peer_evidence);
--- a/tests/discovery/backend_registry_test.cc
+++ b/tests/discovery/backend_registry_test.cc
@@ -278,7 +278,7 @@
       const auto view = harness.updatedConfiguration();
       REQUIRE(harness.find(view, older) != nullptr);
       CHECK(harness.find(view, older)->server_id == older);
-      const Backend* second = view->backend(fallbackBackendIdOfServer(newer));
+      const Backend* second = view->backend(secondaryBackendIdOfServer(newer));
       REQUIRE(second != nullptr);
       CHECK(second->server_id == newer);
       CHECK(view->backendsOf(second->service).size() == fleet.size());
@@ -287,7 +287,7 @@
       harness.registry.onBackendDeleted("backends/" + fleet[0].name, 5000);
       harness.time.elapsed += kRetiredTtl + seconds(1);
       harness.registry.pruneRetired();
-      CHECK(harness.updatedConfiguration()->backend(fallbackBackendIdOfServer(newer))->server_id ==
+      CHECK(harness.updatedConfiguration()->backend(secondaryBackendIdOfServer(newer))->server_id ==
             newer);
     }
   }
