--- a/src/balancer/node.h
+++ b/src/balancer/node.h
@@ -44,7 +44,7 @@
   Duration gossip_interval = milliseconds(500);
   /** Number of peers to which a change of state or configuration is sent immediately. */
   std::size_t push_fanout = 3;
-  /** Gossip that the node sends [bytes/s]; it receives as much. */
+  /** Budget of the gossip that the node sends [bytes/s]; it receives about as much. */
   std::size_t control_bytes_per_second = 1400;
   FlowRouterSettings flow;
   PlacementSettings placement;
--- a/src/balancer/packet_node.cc
+++ b/src/balancer/packet_node.cc
@@ -93,9 +93,9 @@
     return known == nullptr ? ServiceId() : known->service;
   });
   if (settings_.uses.exclude_suspects) {
-    const BackendHealth& own = silence_;
+    const BackendHealth& local = silence_;
     const BackendHealth& shared = evidence_;
-    placement_.setBackendHealth(settings_.uses.share_evidence ? &shared : &own);
+    placement_.setBackendHealth(settings_.uses.share_evidence ? &shared : &local);
   }
   if (settings_.uses.weight_by_speed) {
     placement_.setSpeed(&response_times_);
@@ -150,8 +150,8 @@
 }
 
 std::optional<DeathEvidence> PacketNode::peerDeathEvidence(BackendId backend,
-                                                           std::uint16_t repetitions) const {
-  return settings_.uses.share_evidence ? evidence_.deathEvidence(backend, repetitions)
+                                                           std::uint16_t retransmissions) const {
+  return settings_.uses.share_evidence ? evidence_.deathEvidence(backend, retransmissions)
                                        : std::nullopt;
 }
 
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -20,7 +20,7 @@
 struct ObservationUses {
   /** Suspect backends get no new flows. */
   bool exclude_suspects = true;
-  /** Open flows of backends that are known to be dead are reset. */
+  /** Open flows of backends that are marked dead are reset. */
   bool reset_dead = true;
   /** Backends that respond slowly get fewer new flows. */
   bool weight_by_speed = true;
@@ -131,9 +131,9 @@
   }
 
   /**
-   * Sets the function that tells whether changes come directly from the platform. Of a large batch
-   * only nodes that read the platform log each backend: 986 nodes wrote 260 lines each while 10,000
-   * backends started.
+   * Sets the function that returns whether changes come directly from the platform. Of a large
+   * batch only nodes that read the platform log each backend: 986 nodes wrote 260 lines each while
+   * 10,000 backends started.
    */
   void setReadsPlatform(std::function<bool()> reads_platform) {
     reads_platform_ = std::move(reads_platform);
@@ -183,7 +183,7 @@
   bool resetsFlowsOfDeadBackends() const override { return settings_.uses.reset_dead; }
   bool requiresPeerEvidence() const override { return settings_.uses.share_evidence; }
   std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
-                                                 std::uint16_t repetitions) const override;
+                                                 std::uint16_t retransmissions) const override;
   ViewStamp viewStamp() const override;
   void onHandshake(Duration duration) override;
   void onRequest(BackendId backend) override;
--- a/src/flow/backend_load_table.h
+++ b/src/flow/backend_load_table.h
@@ -15,7 +15,7 @@
   Duration report_ttl = seconds(10);
   /** Age at which a report that a backend is unreachable expires. */
   Duration state_ttl = seconds(120);
-  /** Time for which a rejection by a draining backend outweighs reports that it is not draining. */
+  /** Time for which a refusal by a draining backend outweighs reports that it is not draining. */
   Duration draining_refusal_ttl = seconds(10);
   /** A backend with a shorter uptime gets an increasing fraction of its usual new flows. */
   Duration slow_start_duration = seconds(10);
@@ -34,7 +34,7 @@
 
 /**
  * This balancer's estimate of the load and the state of each backend, from the last report, the
- * placements since, and the backend's own rejections.
+ * placements since, and the backend's own refusals.
  */
 class BackendLoadTable {
  public:
@@ -50,18 +50,20 @@
   /** Records that this balancer placed a flow on the backend. */
   void onPlaced(const Backend& backend);
 
-  /** Records a rejection by the backend, which accepts no new work for the given time. */
+  /** Records a refusal by the backend, which accepts no new work for the given time. */
   void onRefusal(BackendId backend, Duration retry_after);
 
-  /** Records a rejection by the backend because it is draining. */
+  /** Records a refusal by the backend because it is draining. */
   void onDrainingRefusal(BackendId backend);
 
-  /** Sets the number of balancers that place flows; they max_placements the free capacity of a
-   * backend. */
+  /**
+   * Sets the number of balancers that place flows; they divide the free capacity of a backend among
+   * them.
+   */
   void setLiveBalancers(std::uint32_t count) { live_balancers_ = count == 0 ? 1 : count; }
 
   /**
-   * Updates the figures that the backends of a service max_placements: the mean load, and the
+   * Updates the figures that the backends of a service have in common: the mean load, and the
    * residence time of a request (requests present divided by placements per second). To be called a
    * few times a second.
    */
@@ -75,16 +77,16 @@
   /** @return true if the backend is declared as draining, or reports that it is. */
   bool isDraining(const Backend& backend) const;
 
-  /** @return false if the backend is draining or has just rejected a flow. */
+  /** @return false if the backend is draining or has recently refused a flow. */
   bool acceptsNewWork(const Backend& backend) const;
 
-  /** @return false if a current report says that the backend is unreachable. */
+  /** @return false if the backend is unreachable according to a current report. */
   bool looksReachable(const Backend& backend) const;
 
   /**
    * @param full_load ratio of load to slots from which a backend is full.
    * @return true if the backend is full by a recent report, or if this balancer has used its
-   * fraction of the capacity that the report showed as free.
+   * part of the capacity that was free according to the report.
    */
   bool isFull(const Backend& backend, double full_load) const;
 
@@ -100,7 +102,7 @@
   /** @return estimated residence time of a request of the service at its backend. */
   Duration residence(ServiceId service) const;
 
-  /** @return true once any report or draining rejection has been received. */
+  /** @return true once any report or draining refusal has been received. */
   bool hasReports() const { return has_reports_; }
 
   /** @return the last report, or nullptr. */
@@ -119,10 +121,10 @@
     double placed = 0;
     MonotonicTime placed_at;
     ServiceId service;
-    /** The last successful report said that the backend is draining. */
+    /** Whether the backend was draining according to the last successful report. */
     bool reported_draining = false;
     /**
-     * Wall-clock time of the last rejection because of draining [ms since the Unix epoch]; 0 for
+     * Wall-clock time of the last refusal because of draining [ms since the Unix epoch]; 0 for
      * none.
      */
     std::uint64_t refused_as_draining_ms = 0;
@@ -143,7 +145,7 @@
 
   const Entry* find(BackendId backend) const;
   const ServiceLoad* findService(ServiceId service) const;
-  /** Applies what a successful report says about draining and restarts. */
+  /** Applies the draining state and a restart that a successful report contains. */
   void updateDraining(Entry& entry, const BackendReport& report);
   bool reportIsCurrent(const Entry& entry) const;
   bool stateIsCurrent(const Entry& entry) const;
--- a/src/flow/cold_backend_limit.cc
+++ b/src/flow/cold_backend_limit.cc
@@ -12,7 +12,7 @@
  */
 constexpr Duration kWindow = milliseconds(1100);
 /**
- * Number of owner sets that may exist at once, in groups of the fleet that do not know each other.
+ * Number of owner sets that may exist at once, one in each group of a partitioned fleet.
  */
 constexpr double kMaxOwnerSets = 2;
 
--- a/src/flow/cold_backend_limit.h
+++ b/src/flow/cold_backend_limit.h
@@ -16,8 +16,9 @@
   /** ...plus this many flows per second: the operator's bound for the whole fleet. */
   double slack_per_second = 5;
   /**
-   * Time after its start in which this balancer places nothing on cold backends: it does not know
-   * what its previous run placed, and discovers the fleet meanwhile (two exchanges with peers).
+   * Time after its start in which this balancer places nothing on cold backends: it has no
+   * record of what its previous incarnation placed, and discovers the fleet meanwhile (two
+   * exchanges with peers).
    */
   Duration start_delay = seconds(5);
 };
@@ -40,7 +41,7 @@
 
   ColdBackendLimit(ColdBackendLimitSettings settings, const TimeSource& time_source);
 
-  /** Without it this balancer counts as the only one. */
+  /** Sets the ownership function; without one this balancer counts as the only owner. */
   void setIsOwner(IsOwner is_owner) { is_owner_ = std::move(is_owner); }
 
   /** @return true if the backend is warm, or may get one more flow from this balancer now. */
--- a/src/flow/compact_token.h
+++ b/src/flow/compact_token.h
@@ -44,10 +44,10 @@
 /** @return the identifier of the flow between two endpoints. */
 FlowId flowIdOf(Endpoint client, Endpoint service);
 
-/** @return the id of a backend in tokens: its 64-bit server id hashed to 32 bits. */
+/** @return the primary id of a backend in tokens: its 64-bit server id hashed to 32 bits. */
 BackendId backendIdOfServer(std::uint64_t server_id);
 
-/** @return the id of a backend in tokens if its first id is already in use by another one. */
+/** @return the secondary id of a backend, used if another one already has its primary id. */
 BackendId secondaryBackendIdOfServer(std::uint64_t server_id);
 
 }  // namespace lugfork
--- a/src/flow/evidence_reporter.h
+++ b/src/flow/evidence_reporter.h
@@ -14,8 +14,8 @@
   /** Minimum interval between two reports of progress of one backend. */
   Duration min_progress_interval = milliseconds(200);
   /**
-   * Minimum interval between two objections, by any balancer, to a zone's being suspect: half of
-   * SharedEvidenceSettings::objection_ttl.
+   * Minimum interval between two objections, by any balancer, to the suspicion of one zone: half
+   * of SharedEvidenceSettings::objection_ttl.
    */
   Duration min_objection_interval = milliseconds(500);
   /** Time within which a backend must have been used to count as in use. */
--- a/src/flow/false_suspicions.h
+++ b/src/flow/false_suspicions.h
@@ -13,7 +13,7 @@
  * overload.
  */
 struct FalseSuspicionSettings {
-  /** Time for which one counts; a client's attempt and its two retries end within 4.2 s. */
+  /** Time for which a suspicion counts; a client's attempt and two retries end within 4.2 s. */
   Duration window = seconds(5);
   /**
    * Minimum number of backends of a service: fewer may have failed or lost a packet independently.
--- a/src/flow/log_time_statistics.h
+++ b/src/flow/log_time_statistics.h
@@ -4,7 +4,7 @@
 
 namespace lugfork {
 
-/** Mean and variance of the sample_ln of durations, with exponentially decaying weights. */
+/** Mean and variance of the logarithms of durations, with exponentially decaying weights. */
 class LogTimeStatistics {
  public:
   /** @param time_constant age at which the weight of a sample has decayed to 1/e. */
@@ -18,7 +18,7 @@
   /** @return the current sum of the weights of all samples. */
   double count(MonotonicTime now) const;
 
-  /** @return mean sample_ln of the samples [ln ms]; 0 without samples. */
+  /** @return mean of the logarithms of the samples [ln ms]; 0 without samples. */
   double mean() const;
 
   /**
--- a/src/flow/placement_engine.cc
+++ b/src/flow/placement_engine.cc
@@ -135,9 +135,9 @@
     std::vector<const Backend*>& backends = list.backends;
     std::iter_swap(std::find(backends.begin(), backends.end(), chosen), backends.end() - 1);
     backends.pop_back();
-    const Backend* refusing = chosen;
+    const Backend* excluded_backend = chosen;
     chosen = choose(list, flow, local_weight);
-    backends.push_back(refusing);
+    backends.push_back(excluded_backend);
   }
   if (chosen == nullptr) {
     return refusalFor(service, list);
--- a/src/flow/placement_engine.h
+++ b/src/flow/placement_engine.h
@@ -23,7 +23,7 @@
 struct PlacementRefusal {
   Reason reason = Reason::None;
   Duration retry_after{};
-  /** No newer view could change the decision, so the client is refused at once. */
+  /** No newer view could change the decision, so the flow is rejected at once. */
   bool is_final = false;
 };
 
@@ -89,7 +89,7 @@
   /**
    * Places a flow and adds it to the backend's load.
    * @param volume amount of data expected from the client.
-   * @param excluded backend that has just refused this flow; unset for none.
+   * @param excluded backend that has refused this flow or not answered its opening; unset for none.
    * @return the backend, or the reason of the refusal and the retry delay.
    */
   Result<const Backend*, PlacementRefusal> place(const Service& service, const FlowId& flow,
@@ -142,7 +142,7 @@
   struct CandidateList {
     std::vector<const Backend*> backends;
     MonotonicTime built_at;
-    /** Backends in allowed zones that are not leaving, whether selectable or not. */
+    /** Backends in allowed zones that are not draining, whether selectable or not. */
     std::vector<const Backend*> eligible;
     /** Most backends look unreachable, so the view is doubtful: reachability is ignored. */
     bool ignore_reachability = false;
--- a/src/flow/shared_evidence.cc
+++ b/src/flow/shared_evidence.cc
@@ -131,7 +131,7 @@
 void SharedEvidence::removeExpired() {
   const MonotonicTime now = time_source_.monotonicTime();
   std::erase_if(reported_progress_,
-                [&](const auto& life) { return now - life.second > kProgressTtl; });
+                [&](const auto& entry) { return now - entry.second > kProgressTtl; });
   std::erase_if(reported_, [&](const auto& entry) {
     return !backends_.contains(entry.first) || !isCurrent(entry.second.last_attempt_at);
   });
@@ -143,11 +143,11 @@
 
 void SharedEvidence::updateSuspects() {
   std::unordered_map<ServiceId, std::size_t> suspects;
-  std::set<BackendId> named;
+  std::set<BackendId> reported_suspects;
   for (const auto& [backend, reported] : reported_) {
     if (reported.reporters >= settings_.min_reporters && isUnanswered(backend, reported)) {
       ++suspects[backends_.at(backend).service];
-      named.insert(backend);
+      reported_suspects.insert(backend);
     }
   }
   const auto exceeds_max_fraction = [&](BackendId backend) {
@@ -155,8 +155,8 @@
     const auto size = static_cast<double>(service_sizes_.at(service));
     return static_cast<double>(suspects[service]) > settings_.max_suspect_fraction * size;
   };
-  std::erase_if(named, exceeds_max_fraction);
-  for (const BackendId backend : named) {
+  std::erase_if(reported_suspects, exceeds_max_fraction);
+  for (const BackendId backend : reported_suspects) {
     if (!suspects_.contains(backend)) {
       const ReportedSilence& reported = reported_.at(backend);
       log_.write(LogLevel::Info, "flow", "backend_suspected_by_others",
@@ -167,25 +167,25 @@
                    toMilliseconds(time_source_.monotonicTime() - reported.last_attempt_at)}});
     }
   }
-  suspects_ = std::move(named);
+  suspects_ = std::move(reported_suspects);
 }
 
 void SharedEvidence::updateUnreachableZones() {
-  std::map<ZoneId, MonotonicTime> zones_out;
+  std::map<ZoneId, MonotonicTime> unreachable;
   for (const ZoneId zone : suspectZones()) {
     if (isZoneSilent(zone)) {
       const auto before = unreachable_zones_.find(zone);
       const bool is_new = before == unreachable_zones_.end();
-      zones_out[zone] = is_new ? time_source_.monotonicTime() : before->second;
+      unreachable[zone] = is_new ? time_source_.monotonicTime() : before->second;
     }
   }
-  if (namesOf(zones_out) != namesOf(unreachable_zones_)) {
+  if (namesOf(unreachable) != namesOf(unreachable_zones_)) {
     log_.write(LogLevel::Info, "flow", "zones_out_of_reach",
-               {{"zones", namesOf(zones_out)},
+               {{"zones", namesOf(unreachable)},
                 {"zones_before", namesOf(unreachable_zones_)},
                 {"servers_named", static_cast<std::uint64_t>(reported_.size())}});
   }
-  unreachable_zones_ = std::move(zones_out);
+  unreachable_zones_ = std::move(unreachable);
 }
 
 std::string SharedEvidence::namesOf(const std::map<ZoneId, MonotonicTime>& zones) const {
@@ -198,12 +198,12 @@
 }
 
 std::set<ZoneId> SharedEvidence::suspectZones() const {
-  std::unordered_map<ZoneId, std::size_t> named;
+  std::unordered_map<ZoneId, std::size_t> silent_counts;
   std::set<ZoneId> zones;
   for (const auto& [backend, reported] : reported_) {
     const ZoneId zone = backends_.at(backend).zone;
-    named[zone] += isUnanswered(backend, reported) ? 1 : 0;
-    if (named[zone] >= settings_.min_silent_backends_of_zone) {
+    silent_counts[zone] += isUnanswered(backend, reported) ? 1 : 0;
+    if (silent_counts[zone] >= settings_.min_silent_backends_of_zone) {
       zones.insert(zone);
     }
   }
@@ -284,19 +284,19 @@
 std::optional<DeathEvidence> SharedEvidence::zoneDeathEvidence(
     BackendId backend, std::uint16_t retransmissions) const {
   const auto zone = zoneOf(backend);
-  const auto out = zone ? unreachable_zones_.find(*zone) : unreachable_zones_.end();
-  if (out == unreachable_zones_.end() || retransmissions < retransmissionsToDeclareDead()) {
+  const auto unreachable = zone ? unreachable_zones_.find(*zone) : unreachable_zones_.end();
+  if (unreachable == unreachable_zones_.end() || retransmissions < retransmissionsToDeclareDead()) {
     return std::nullopt;
   }
   const MonotonicTime now = time_source_.monotonicTime();
   const MonotonicTime progress_at = lastProgressIn(*zone);
   const Duration silent_for = now - std::max(progress_at, behind_at_);
-  const MonotonicTime out_of_reach_since = std::max(out->second, behind_at_);
-  if (silent_for < settings_.min_silence || now - out_of_reach_since < settings_.reset_delay) {
+  const MonotonicTime unreachable_since = std::max(unreachable->second, behind_at_);
+  if (silent_for < settings_.min_silence || now - unreachable_since < settings_.reset_delay) {
     return std::nullopt;
   }
-  const bool has_shown_life = progress_at != MonotonicTime();
-  DeathEvidence evidence{true, 0, 0, has_shown_life ? silent_for : Duration::zero()};
+  const bool has_progressed = progress_at != MonotonicTime();
+  DeathEvidence evidence{true, 0, 0, has_progressed ? silent_for : Duration::zero()};
   for (const auto& [other, reported] : reported_) {
     if (zoneOf(other) == zone) {
       evidence.reporters = std::max(evidence.reporters, reported.reporters);
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -103,7 +103,7 @@
   std::optional<ZoneId> zoneOf(BackendId backend) const;
 
   /**
-   * @return zones with so many backends reported silent that the whole zone may be out of reach.
+   * @return zones with so many backends reported silent that the whole zone may be unreachable.
    */
   std::set<ZoneId> suspectZones() const;
 
@@ -135,7 +135,7 @@
   void removeExpired();
   /** Determines the backends that are suspect because of reports, and logs new ones. */
   void updateSuspects();
-  /** Determines the zones that are out of reach as a whole, and logs changes. */
+  /** Determines the zones that are unreachable as a whole, and logs changes. */
   void updateUnreachableZones();
   std::string namesOf(const std::map<ZoneId, MonotonicTime>& zones) const;
   std::optional<DeathEvidence> zoneDeathEvidence(BackendId backend,
@@ -165,7 +165,7 @@
   std::uint16_t reported_survived_retransmissions_ = 0;
   MonotonicTime reported_survived_at_;
   std::set<BackendId> suspects_;
-  /** Zones that are out of reach, and since when they are considered so. */
+  /** Zones that are unreachable, and since when they are considered so. */
   std::map<ZoneId, MonotonicTime> unreachable_zones_;
 };
 
--- a/src/flow/silence_detector.cc
+++ b/src/flow/silence_detector.cc
@@ -218,10 +218,10 @@
   std::size_t silent = 0;
   std::size_t in_use = 0;
   for (const auto& [id, record] : records_) {
-    const bool repeated =
+    const bool retransmitted =
         record.retransmitted_at > behind_at_ && record.retransmitted_at >= earliest;
-    silent += repeated ? 1 : 0;
-    in_use += repeated || record.progress_at >= earliest ? 1 : 0;
+    silent += retransmitted ? 1 : 0;
+    in_use += retransmitted || record.progress_at >= earliest ? 1 : 0;
   }
   return static_cast<double>(silent) > settings_.max_silent_fraction * static_cast<double>(in_use);
 }
--- a/src/flow/silence_detector.h
+++ b/src/flow/silence_detector.h
@@ -44,7 +44,8 @@
   double max_silent_fraction = 0.34;
   /**
    * Number of other backends of the service that must have answered recently before one is marked
-   * dead: without them a dead backend cannot be told from a fault of the clients or of the path.
+   * dead: without them a dead backend cannot be distinguished from a fault of the clients or the
+   * path.
    */
   std::size_t min_answering_backends = 2;
   /** Unanswered attempts that make a backend suspect while its service is under pressure. */
@@ -60,8 +61,8 @@
   /** Number of failures from which a recovered backend is excluded for a delay. */
   std::size_t min_flapping_failures = 2;
   /**
-   * First such delay, doubled with each further failure; the client of a new flow waits at most
-   * this long.
+   * First such delay, doubled with each further failure: the time after which the client of a new
+   * flow gives up.
    */
   Duration readmission_delay = milliseconds(1400);
   /** Upper bound of the delay, so that a recovered backend does not stay unused for longer. */
--- a/src/load/admission_controller.cc
+++ b/src/load/admission_controller.cc
@@ -9,12 +9,13 @@
 
 namespace {
 
-/** Demand below which a class has_target as absent [flows/s]. */
+/** Demand below which a class counts as absent [flows/s]. */
 constexpr double kMinDemandPerSecond = 0.5;
-/** Pressure below which slots are free, so that the rate limit is released and not controlled. */
+/** Pressure below which slots are free: the rate limit then grows regardless of the pressure. */
 constexpr double kMaxFreePressure = 0.5;
 /** Rate limit relative to the demand above which the limit has no effect and is discarded. */
 constexpr double kMaxLimitToDemandRatio = 1.1;
+/** Excess pressure above which the backends' queues are full. */
 constexpr double kFullQueueExcess = 0.5;
 /**
  * Time after which slots are counted again: a service may have thousands of backends, of which a
@@ -26,6 +27,7 @@
  * class alone exceeds the slots.
  */
 constexpr double kUrgentRetainedFraction = 0.5;
+/** Minimum time constant of that growth, as a multiple of the service time. */
 constexpr int kReleaseServiceTimes = 4;
 
 double toSeconds(Duration duration) {
--- a/src/load/admission_controller.h
+++ b/src/load/admission_controller.h
@@ -83,7 +83,7 @@
   /** @return the level; 0 for a service without demand. */
   double level(ServiceId service) const;
 
-  /** @return load relative to its limit as of the last tick; 0 if unknown. */
+  /** @return the load relative to its limit, as of the last tick; 0 if unknown. */
   double pressure(ServiceId service) const;
 
  private:
@@ -120,9 +120,10 @@
   void updateDemand(State& state, MonotonicTime now, double elapsed_s) const;
   void updateRateLimit(State& state, const ServiceLoad& load, double elapsed_s) const;
   /**
-   * @return the rate of flows of the most urgent class that must not be rejected [flows/s]: those
-   * that fill the slots, and in any case as many as compete with requests on open flows of other
-   * classes. Open flows cannot be rejected; their requests only leave when backends reject them.
+   * @return the rate of flows of the most urgent class that must not be rejected [flows/s]: the
+   * rate that fills the slots or, if that is higher, the rate of requests on other flows plus a
+   * fraction of the urgent flows admitted now. Open flows of other classes cannot be rejected here;
+   * their requests decrease only when backends reject them.
    */
   static double guaranteedUrgentRate(const State& state, const PressureInput& input);
   /** @return request rate that fills this balancer's share of the slots [1/s]; 0 if unknown. */
--- a/src/load/load_control.h
+++ b/src/load/load_control.h
@@ -46,7 +46,7 @@
   AdmissionSettings admission = {};
   /**
    * Time for which a promptly acknowledged response suppresses those that are acknowledged late. A
-   * balancer with little traffic receives several prompt ones in it.
+   * balancer with little traffic receives several prompt ones within this time.
    */
   Duration prompt_response_ttl = seconds(5);
   /**
--- a/src/load/receive_backlog.h
+++ b/src/load/receive_backlog.h
@@ -79,8 +79,8 @@
   MonotonicTime lastEmptyAt() const { return last_empty_at_; }
 
   /**
-   * @return the time since when a datagram that is read now may have waited, provided that the
-   * process was not paused before the queue formed.
+   * @return the earliest time from which a datagram that is read now may have been waiting,
+   * provided that the process was not paused before the queue formed.
    */
   MonotonicTime queuedSince(MonotonicTime now) const { return now - queuedFor(now); }
 
--- a/src/load/service_load.cc
+++ b/src/load/service_load.cc
@@ -10,8 +10,8 @@
 namespace {
 
 /**
- * A response that is shorter than the usual one by this factor is taken for a rejection. Backends
- * queue only a few requests per slot, so a request that was processed updated_at once takes more
+ * A response that is shorter than the usual one by this factor is presumed to be a rejection.
+ * Backends queue only a few requests per slot, so a request that was processed at once takes more
  * than a sixth of the time of a queued one.
  */
 constexpr double kMinRejectionRatio = 6;
@@ -23,8 +23,8 @@
 /** Mean response time relative to the service time from which queues count as long. */
 constexpr double kMinQueueRatio = 2;
 /**
- * Time constant and ratio by which presumed rejections must outnumber other responses to show that
- * the work itself has become shorter.
+ * Time constant and ratio by which presumed rejections must outnumber other responses before the
+ * work itself is assumed to have become shorter.
  */
 constexpr Duration kWorkChangeTimeConstant = seconds(5);
 constexpr double kMinWorkChangeRatio = 20;
@@ -34,8 +34,8 @@
  */
 constexpr int kSmoothedServiceTimes = 3;
 /**
- * Maximum smoothing time constant, so that clients that give up after one or two seconds are
- * noticed.
+ * Maximum smoothing time constant: slow responses have to be detected before clients give up,
+ * after one or two seconds.
  */
 constexpr Duration kMaxSmoothingTimeConstant = seconds(2);
 
--- a/src/load/service_time.cc
+++ b/src/load/service_time.cc
@@ -16,7 +16,10 @@
 constexpr std::uint32_t kMinWindowResponses = 32;
 constexpr double kBucketsPerOctave = 4;
 constexpr double kLowQuantile = 0.05;
-/** Growth of the short responses from which the work has changed; a standing queue causes less. */
+/**
+ * Growth ratio of the shortest response times from which the work is assumed to have changed; a
+ * standing queue causes less.
+ */
 constexpr double kMinWorkGrowthRatio = 2;
 
 }  // namespace
--- a/tests/balancer/node_test.cc
+++ b/tests/balancer/node_test.cc
@@ -28,7 +28,7 @@
   return parseConfigurationDocument(text).value();
 }
 
-TEST_CASE("tokens with an unknown key cause few reads of the platform") {
+TEST_CASE("200 tokens with an unknown key cause at most two reads of the platform") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   CountingOutputs outputs;
--- a/tests/balancer/packet_node_test.cc
+++ b/tests/balancer/packet_node_test.cc
@@ -336,7 +336,7 @@
   CHECK((flows_to_silent == 0) == settings.uses.share_evidence);
 }
 
-TEST_CASE("leaving node is not ready and still serves", "[packet_node]") {
+TEST_CASE("leaving node is not ready but still places new flows", "[packet_node]") {
   PacketNodeHarness harness;
   harness.read({item("routes/all", 2, "route"), item("backends/a", 3, "server")});
   harness.node.startLeaving();
--- a/tests/flow/cold_backend_limit_test.cc
+++ b/tests/flow/cold_backend_limit_test.cc
@@ -33,7 +33,7 @@
   return placed;
 }
 
-TEST_CASE("warm backend, and cold one without a limit, gets every flow", "[cold_server_limit]") {
+TEST_CASE("warm backend, and cold one without a limit, get every flow", "[cold_server_limit]") {
   ManualTimeSource time;
   ColdBackendLimit limit({}, time);
   Backend warm = coldBackend(time);
@@ -69,7 +69,8 @@
   CHECK(placeAll(limit, cold, 100) == 0);
 }
 
-TEST_CASE("all balancers that know the whole fleet agree on a few owners", "[cold_server_limit]") {
+TEST_CASE("balancers that have discovered the whole fleet agree on one or two owners",
+          "[cold_server_limit]") {
   ManualTimeSource time;
   const auto random = makeSeededRandom(1);
   const std::uint32_t fleet = GENERATE(as<std::uint32_t>(), 1, 2, 7, 89, 300);
@@ -95,7 +96,8 @@
 /**
  * Each balancer knows the peers in its half of a partitioned fleet; balancers restart at random.
  */
-TEST_CASE("sum over all balancers stays within the bound in any second", "[cold_server_limit]") {
+TEST_CASE("total placements of all balancers on a cold backend stay within the bound in any second",
+          "[cold_server_limit]") {
   rc::prop("partitioned fleet, restarts, uneven load", [] {
     ManualTimeSource time;
     const auto random = makeSeededRandom(*rc::gen::inRange(1, 1000000));
--- a/tests/flow/flow_router_test.cc
+++ b/tests/flow/flow_router_test.cc
@@ -256,9 +256,9 @@
   harness.receive(refusalBy(1, Reason::Overloaded, true), addressOf(1));
   const auto first = harness.takeOnly<Refused>();
   harness.receive(refusalBy(1, Reason::Overloaded, true), addressOf(1));
-  const auto copy = harness.takeOnly<Refused>();
-  REQUIRE((first && copy));
-  CHECK(first->replacement == copy->replacement);
+  const auto duplicate = harness.takeOnly<Refused>();
+  REQUIRE((first && duplicate));
+  CHECK(first->replacement == duplicate->replacement);
   CHECK(harness.router.counters().replacements == 1);
   for (std::uint64_t flow = 100; flow < 200; ++flow) {
     BackendRefusal refusal = refusalBy(1, Reason::PlacementExpired, true);
--- a/tests/flow/locality_demand_test.cc
+++ b/tests/flow/locality_demand_test.cc
@@ -57,7 +57,7 @@
   };
   const Row rows[] = {
       {"low demand in a zone with few slots", 24, 12, 0.85, 0.84},
-      {"demand at the target utilisation", 24, 16.8, 0.85, 0.84},
+      {"demand at the target utilization", 24, 16.8, 0.85, 0.84},
       {"demand at twice the target", 24, 33.6, 0.5, 0.43},
       {"demand above all slots of all zones", 24, 400, 0.101, 0.099},
       {"half of the slots lost", 12, 16.8, 0.5, 0.43},
--- a/tests/flow/locality_load_test.cc
+++ b/tests/flow/locality_load_test.cc
@@ -152,16 +152,16 @@
   replay.run(5);
   const double mean_flows = 0.4 * kZoneCapacityPerSecond / kBackendsPerZone;
   for (std::uint32_t index = 0; index < kBackendsPerZone; ++index) {
-    Backend& leaving = replay.configuration.backends[index];
-    REQUIRE(leaving.zone == ZoneId(1));
-    leaving.draining = true;
+    Backend& restarting = replay.configuration.backends[index];
+    REQUIRE(restarting.zone == ZoneId(1));
+    restarting.draining = true;
     replay.apply();
     replay.run(1);
-    leaving.draining = false;
-    leaving.cold_until = replay.time.monotonicTime() + seconds(2);
-    replay.backend_fakes[leaving.id.value()].slowdown = 1.6;
+    restarting.draining = false;
+    restarting.cold_until = replay.time.monotonicTime() + seconds(2);
+    replay.backend_fakes[restarting.id.value()].slowdown = 1.6;
     if (index >= 2) {
-      replay.backend_fakes[leaving.id.value() - 2].slowdown = 1;
+      replay.backend_fakes[restarting.id.value() - 2].slowdown = 1;
     }
     replay.apply();
     replay.run(1);
--- a/tests/flow/outlier_detector_test.cc
+++ b/tests/flow/outlier_detector_test.cc
@@ -49,7 +49,7 @@
 TEST_CASE("retransmissions of one attempt and old failures do not add up") {
   Harness harness;
   const Backend backend = makeBackend(1, ServiceId(1), kLac);
-  for (int copy = 0; copy < 50; ++copy) {
+  for (int transmission = 0; transmission < 50; ++transmission) {
     harness.detector.onFailure(backend, FlowKey{{1, 1}, 0}, 10);
   }
   CHECK_FALSE(harness.detector.isEjected(backend.id));
@@ -84,7 +84,7 @@
     return taken;
   };
   CHECK(drain() == 5);
-  for (int first_try = 0; first_try < 11; ++first_try) {
+  for (int first_attempt = 0; first_attempt < 11; ++first_attempt) {
     budget.onFirstAttempt();
   }
   CHECK(drain() == 2);
--- a/tests/flow/overflow_by_demand_test.cc
+++ b/tests/flow/overflow_by_demand_test.cc
@@ -3,7 +3,7 @@
 #include "flow/load_replay.h"
 
 /**
- * Overflow by the demand of the local zone, in three zones with 60 slots together, 20 of them per
+ * Overflow by the demand of the local zone, in three zones with 60 slots in total: 20 per
  * zone if distributed evenly. A balancer sees 13 to 50 requests per second with 25 balancers per
  * zone, 40 to 150 with eight and one or two with 300.
  */
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a service time wrong by a factor of two causes no more late flows than none",
+TEST_CASE("a service time wrong by a factor of two causes no more late flows than an unknown one",
           "[locality][demand]") {
   const auto play = [](double factor) {
     LoadReplay replay =
--- a/tests/flow/overload_replay.h
+++ b/tests/flow/overload_replay.h
@@ -92,8 +92,9 @@
   void onRequest(BackendId) override {}
   void onResponse(BackendId, Duration, ResponseTiming) override {}
   std::optional<DeathEvidence> peerDeathEvidence(BackendId backend,
-                                                 std::uint16_t repetitions) const override {
-    return safeguards.shares_evidence ? shared.deathEvidence(backend, repetitions) : std::nullopt;
+                                                 std::uint16_t retransmissions) const override {
+    return safeguards.shares_evidence ? shared.deathEvidence(backend, retransmissions)
+                                      : std::nullopt;
   }
 
   const Safeguards safeguards;
--- a/tests/flow/packet_router_test.cc
+++ b/tests/flow/packet_router_test.cc
@@ -58,10 +58,10 @@
   }
 
   /** Sends the opening of a flow. @return the last packet forwarded. */
-  Sent open(std::uint16_t port, std::uint32_t copy = 0) {
+  Sent open(std::uint16_t port, std::uint32_t retransmissions = 0) {
     FlowPacket opening = packet(port);
     opening.opens = true;
-    opening.acknowledged = copy;
+    opening.acknowledged = retransmissions;
     router.onPacket(opening);
     REQUIRE_FALSE(sent.empty());
     return sent.back();
@@ -259,7 +259,7 @@
   BackendId dead;
   const auto ports = openAtOne(harness, 3, dead);
   REQUIRE(ports.size() == 3);
-  const auto repeat = [&](std::uint16_t port, std::uint32_t sequence) {
+  const auto retransmit = [&](std::uint16_t port, std::uint32_t sequence) {
     harness.data(port, harness.tokens.encode(harness.packet(port).flow(), dead), sequence, 1);
   };
   const bool slow_before = GENERATE(false, true);
@@ -270,12 +270,12 @@
   for (const int wait_ms : {0, 200}) {
     harness.time.elapsed += milliseconds(wait_ms);
     for (const std::uint16_t port : ports) {
-      repeat(port, 1101);
+      retransmit(port, 1101);
     }
   }
   CHECK(harness.resets.empty());
   harness.time.elapsed += milliseconds(400);
-  repeat(ports[0], 1101);
+  retransmit(ports[0], 1101);
   const std::size_t expected = slow_before ? 0 : 1;
   const auto& by_reason = harness.router.counters().resets_by_reason;
   CHECK(harness.resets.size() == expected);
@@ -360,13 +360,13 @@
           "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
-  BackendId living;
-  const auto ports = openAtOne(harness, 3, living);
+  BackendId healthy;
+  const auto ports = openAtOne(harness, 3, healthy);
   harness.time.elapsed += seconds(2);
   for (int round = 0; round < 2; ++round) {
     for (std::uint32_t packet = 0; packet < 16; ++packet) {
       for (const std::uint16_t port : ports) {
-        const CompactToken token = harness.tokens.encode(harness.packet(port).flow(), living);
+        const CompactToken token = harness.tokens.encode(harness.packet(port).flow(), healthy);
         harness.data(port, token, 1001 + 100 * packet, 1);
       }
     }
@@ -379,15 +379,15 @@
           "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
-  BackendId living;
-  const auto ports = openAtOne(harness, 2, living);
+  BackendId healthy;
+  const auto ports = openAtOne(harness, 2, healthy);
   const auto send = [&](std::uint16_t port, std::uint32_t sequence) {
-    harness.data(port, harness.tokens.encode(harness.packet(port).flow(), living), sequence, 1);
+    harness.data(port, harness.tokens.encode(harness.packet(port).flow(), healthy), sequence, 1);
   };
-  for (int repetition = 0; repetition < 3; ++repetition) {
+  for (int round = 0; round < 3; ++round) {
     harness.time.elapsed += milliseconds(300);
     send(ports[0], 1001);
-    send(ports[0], 1001 + 20000 * (repetition + 1));
+    send(ports[0], 1001 + 20000 * (round + 1));
     send(ports[1], 1001);
   }
   CHECK(harness.resets.empty());
@@ -398,7 +398,7 @@
   harness.setConfiguration(manyBackends());
   BackendId slow;
   const auto ports = openAtOne(harness, 1, slow);
-  for (int repetition = 0; repetition < 6; ++repetition) {
+  for (int round = 0; round < 6; ++round) {
     harness.time.elapsed += milliseconds(400);
     harness.data(ports[0], harness.tokens.encode(harness.packet(ports[0]).flow(), slow), 1001, 1);
   }
@@ -412,7 +412,7 @@
     tokens[port] = harness.open(port).token;
     harness.data(port, tokens[port], 1001, 1);
   }
-  for (int repetition = 0; repetition < 5; ++repetition) {
+  for (int round = 0; round < 5; ++round) {
     harness.time.elapsed += milliseconds(400);
     for (const auto& [port, token] : tokens) {
       harness.data(port, token, 1001, 1);
@@ -425,16 +425,16 @@
 TEST_CASE("no flow is reset while many backends look silent by one flow each", "[packet_router]") {
   PacketHarness harness;
   harness.setConfiguration(manyBackends());
-  BackendId living;
-  const auto ports = openAtOne(harness, 3, living);
+  BackendId healthy;
+  const auto ports = openAtOne(harness, 3, healthy);
   std::map<std::uint16_t, CompactToken> flows;
   for (const std::uint16_t port : ports) {
-    flows[port] = harness.tokens.encode(harness.packet(port).flow(), living);
+    flows[port] = harness.tokens.encode(harness.packet(port).flow(), healthy);
   }
   for (std::uint16_t port = 40000; port < 40020; ++port) {
     flows[port] = harness.open(port).token;
   }
-  for (int repetition = 0; repetition < 4; ++repetition) {
+  for (int round = 0; round < 4; ++round) {
     for (const auto& [port, token] : flows) {
       harness.data(port, token, 1001, 1);
     }
@@ -491,7 +491,8 @@
   CHECK(harness.timings == std::vector<ResponseTiming>(2, ResponseTiming::Delayed));
 }
 
-TEST_CASE("the response time of a retransmitted request is marked as repeated", "[packet_router]") {
+TEST_CASE("the response time of a retransmitted request is marked as retransmitted",
+          "[packet_router]") {
   PacketHarness harness;
   const CompactToken token = harness.open(1).token;
   harness.data(1, token, 1001, 1);
--- a/tests/flow/placement_engine_test.cc
+++ b/tests/flow/placement_engine_test.cc
@@ -45,7 +45,7 @@
     loads.onReport(report);
   }
 
-  void reportLeaving(std::uint32_t id) {
+  void reportDraining(std::uint32_t id) {
     BackendReport report{BackendId(id), true, true, 0, 0, 0, 1000000, 0};
     report.measured_at_ms = toUnixMilliseconds(time.systemTime());
     loads.onReport(report);
@@ -133,9 +133,9 @@
   CHECK(harness.placeMany(1000).count(0) == 0);
 }
 
-TEST_CASE("reports that a backend is leaving or unreachable are valid for longer than its load") {
+TEST_CASE("reports that a backend is draining or unreachable are valid for longer than its load") {
   PlacementHarness harness(5);
-  harness.reportLeaving(1);
+  harness.reportDraining(1);
   harness.reportUnreachable(2);
   harness.time.elapsed += seconds(60);
   const auto placements = harness.placeMany(100);
@@ -143,9 +143,9 @@
   CHECK(placements.count(2) == 0);
 }
 
-TEST_CASE("a failed probe does not clear the reported leaving state") {
+TEST_CASE("a failed probe does not clear the reported draining state") {
   PlacementHarness harness(2);
-  harness.reportLeaving(1);
+  harness.reportDraining(1);
   harness.time.elapsed += seconds(1);
   harness.reportUnreachable(1);
   harness.time.elapsed += seconds(200);
@@ -153,9 +153,10 @@
 }
 
 TEST_CASE(
-    "a report clears a reported leaving state at once, one detected by refusal after a delay") {
+    "a report clears a reported draining state at once, one inferred from a refusal after a "
+    "delay") {
   PlacementHarness harness(2);
-  harness.reportLeaving(1);
+  harness.reportDraining(1);
   harness.time.elapsed += seconds(1);
   harness.report(1, 0);
   CHECK(harness.placeMany(100).count(1) == 1);
@@ -188,15 +189,15 @@
 
 TEST_CASE("a backend that has just started receives a small and rising fraction of flows") {
   PlacementHarness harness(4);
-  const auto share = [&](std::uint32_t uptime_ms) {
+  const auto flowsAtUptime = [&](std::uint32_t uptime_ms) {
     harness.time.elapsed += seconds(1);
     for (std::uint32_t id = 1; id <= 4; ++id) {
       harness.report(id, 1, 0, id == 1 ? uptime_ms : 1000000);
     }
     return harness.placeMany(8)[1];
   };
-  const int at_start = share(100);
-  const int warm = share(20000);
+  const int at_start = flowsAtUptime(100);
+  const int warm = flowsAtUptime(20000);
   CHECK(at_start == 0);
   CHECK(warm >= 1);
 }
@@ -297,7 +298,10 @@
     return settings;
   }
 
-  /** @return number of 4,000 flows, one per pause, that are placed in the local zone. */
+  /**
+   * Places 4,000 flows, with the given pause before each.
+   * @return how many are placed in the local zone.
+   */
   int placeLocally(FlowVolume volume, Duration pause = seconds(1)) {
     int local = 0;
     for (int flow = 0; flow < 4000; ++flow) {
--- a/tests/flow/requests_in_flight_test.cc
+++ b/tests/flow/requests_in_flight_test.cc
@@ -19,7 +19,7 @@
   return packet;
 }
 
-/** Packets of clients as a FlowObserver sees them. */
+/** Passes packets of clients to a FlowObserver. */
 struct Harness {
   void open(std::uint16_t port, BackendId backend) {
     FlowPacket packet = packetOf(port);
--- a/tests/flow/shared_evidence_test.cc
+++ b/tests/flow/shared_evidence_test.cc
@@ -75,7 +75,7 @@
   CHECK_FALSE(harness.node.isSuspect(5));
 }
 
-TEST_CASE("answer to any balancer ends older evidence and not newer", "[shared_evidence]") {
+TEST_CASE("answer to any balancer ends older evidence but not newer", "[shared_evidence]") {
   Harness harness;
   harness.node.reportSilent({5}, 3, 1, 0, 100);
   SECTION("reported, later than the last attempt") {
@@ -111,7 +111,7 @@
   CHECK(harness.node.shared.reportedSilence().empty());
 }
 
-TEST_CASE("zone with no answering backend is out of reach as a whole", "[shared_evidence]") {
+TEST_CASE("zone with no answering backend is unreachable as a whole", "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(12);
   harness.advanceWithAnswers(300);
@@ -141,7 +141,8 @@
   }
 }
 
-TEST_CASE("zone is not out of reach by reports or local observations alone", "[shared_evidence]") {
+TEST_CASE("zone is not marked unreachable by reports or local observations alone",
+          "[shared_evidence]") {
   Harness harness;
   harness.advanceWithAnswers(300);
   SECTION("reports of peers only") {
@@ -296,7 +297,7 @@
   CHECK(harness.isDead(5));
 }
 
-TEST_CASE("under pressure no open flow to a zone out of reach is reset", "[shared_evidence]") {
+TEST_CASE("under pressure no open flow to an unreachable zone is reset", "[shared_evidence]") {
   Harness harness;
   const FakePressure pressure;
   harness.node.local.setPressure(&pressure);
@@ -337,7 +338,7 @@
   CHECK(seen.front().flows == 0);
 }
 
-TEST_CASE("open flow to a zone out of reach is reset after its own retransmissions",
+TEST_CASE("open flow to an unreachable zone is reset after its own retransmissions",
           "[shared_evidence]") {
   Harness harness;
   harness.node.recordAnswer(11);
--- a/tests/flow/unreachable_zone_test.cc
+++ b/tests/flow/unreachable_zone_test.cc
@@ -6,7 +6,7 @@
 namespace lugfork {
 namespace {
 
-/** Backends above a given id are out of reach. */
+/** Backends above a given id are in unreachable zones. */
 struct FakeSuspicion : BackendHealth {
   bool isSuspect(BackendId backend) const override {
     return suspects_backends && isInUnreachableZone(backend);
@@ -47,14 +47,14 @@
   std::uint64_t flows = 0;
 };
 
-TEST_CASE("zones out of reach get no new flow, regardless of their number", "[placement]") {
+TEST_CASE("unreachable zones get no new flow, regardless of their number", "[placement]") {
   Harness harness;
   // Two of three zones: above the panic threshold, which would include them again.
   harness.suspicion.last_reachable = kBackendsPerZone;
   CHECK(harness.maxPlacedId() <= kBackendsPerZone);
 }
 
-TEST_CASE("updated backend of a zone out of reach gets no new flow", "[placement]") {
+TEST_CASE("updated backend of an unreachable zone gets no new flow", "[placement]") {
   Harness harness;
   harness.suspicion.suspects_backends = false;
   harness.suspicion.last_reachable = kBackendsPerZone;
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("flows are placed in all zones if none is in reach", "[placement]") {
+TEST_CASE("flows are placed in all zones if none is reachable", "[placement]") {
   Harness harness;
   harness.suspicion.last_reachable = 0;
   CHECK(harness.maxPlacedId() > 2 * kBackendsPerZone);
--- a/tests/load/ingress_replay_test.cc
+++ b/tests/load/ingress_replay_test.cc
@@ -72,7 +72,7 @@
   CHECK(inTimeFraction(runInArrivalOrder(load, kLargeSocketDatagrams)) < 0.1);
 }
 
-TEST_CASE("figures of the orders of serving", "[.][ingress_figures]") {
+TEST_CASE("results of each serving order by load", "[.][ingress_figures]") {
   for (const double load_ratio : {0.5, 0.9, 1.05, 1.5, 3.0}) {
     for (const Duration first_view_delay : {Duration(), kFirstViewDelay}) {
       const IngressLoad load = makeLoad(load_ratio, first_view_delay);
--- a/tests/load/receive_backlog_test.cc
+++ b/tests/load/receive_backlog_test.cc
@@ -67,7 +67,7 @@
   CHECK(harness.backlog.queuedSince(harness.now) == empty_at + milliseconds(10));
   harness.read(milliseconds(10), milliseconds(10), 1, true);
   CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
-  // A single datagram after a pause does not show whether more arrived after it.
+  // A single datagram after a pause does not indicate whether more arrived after it.
   harness.now += milliseconds(10);
   harness.backlog.onBatch({1, true, false}, harness.now);
   CHECK(harness.backlog.lastEmptyAt() == empty_at + milliseconds(60));
@@ -99,7 +99,8 @@
   }
 }
 
-TEST_CASE("a pause of the process is detected, and its rate is not used", "[receive_backlog]") {
+TEST_CASE("a pause of the process is detected, and the rate measured across it is discarded",
+          "[receive_backlog]") {
   BacklogHarness harness;
   harness.read(milliseconds(40), milliseconds(10), 32, false);
   harness.now += seconds(2);
--- a/tests/load/service_load_test.cc
+++ b/tests/load/service_load_test.cc
@@ -125,17 +125,17 @@
 
 TEST_CASE("a few very short responses don't count as work") {
   EstimatorHarness harness;
-  EstimatorHarness without;
+  EstimatorHarness reference;
   for (int second = 0; second < 10; ++second) {
     harness.run(seconds(1), 0.4, milliseconds(60));
-    without.run(seconds(1), 0.4, milliseconds(60));
+    reference.run(seconds(1), 0.4, milliseconds(60));
     for (int i = 0; i < 10; ++i) {
       harness.estimator.onResponse(kService, Duration(i * 100));
     }
   }
   CHECK(inMilliseconds(harness.load().service_time) == Approx(60).epsilon(0.3));
-  CHECK(harness.load().service_time == without.load().service_time);
-  CHECK(harness.load().response_time == without.load().response_time);
+  CHECK(harness.load().service_time == reference.load().service_time);
+  CHECK(harness.load().response_time == reference.load().response_time);
 }
 
 TEST_CASE("too few responses give no estimate, and services that are not configured are removed") {
--- a/tests/load/zone_demand_test.cc
+++ b/tests/load/zone_demand_test.cc
@@ -14,7 +14,7 @@
 
 /** One balancer of a zone of twenty, with backends whose work takes 25 ms. */
 struct DemandHarness {
-  /** Advances the time by steps of 200 ms with requests at that rate at this balancer. */
+  /** Advances the time by steps of 200 ms, with requests at the given rate at this balancer. */
   void advance(int steps, double requests_per_second) {
     for (int step = 0; step < steps; ++step) {
       for (int millisecond = 0; millisecond < 200; ++millisecond) {
