--- a/src/runtime/api_response.cc
+++ b/src/runtime/api_response.cc
@@ -21,7 +21,7 @@
 HttpResponse jsonResponse(int status, const nlohmann::json& body) {
   HttpResponse response;
   response.status = status;
-  // Names come from requests as well and need not be UTF-8.
+  // Names may come from requests and need not be valid UTF-8.
   const auto replace = nlohmann::json::error_handler_t::replace;
   response.body = body.dump(-1, ' ', false, replace) + "\n";
   return response;
--- a/src/runtime/asio_scheduler.h
+++ b/src/runtime/asio_scheduler.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Scheduler over an event loop. */
+/** Scheduler on a Boost.Asio event loop. */
 class AsioScheduler : public Scheduler {
  public:
   explicit AsioScheduler(boost::asio::io_context& io_context) : io_context_(io_context) {}
--- a/src/runtime/condition_tracker.h
+++ b/src/runtime/condition_tracker.h
@@ -7,22 +7,22 @@
 
 namespace lugfork {
 
-/** One statement about a resource, why it holds, and since when. */
+/** Condition of a resource: whether it holds, why, and since when. */
 struct Condition {
   std::string type;
   bool holds = false;
-  /** Stable name of the cause, in snake case. */
+  /** Machine-readable code of the cause, in snake case. */
   std::string reason;
-  /** When this node first saw the statement in this form. */
+  /** When this node first observed the condition with this status and reason. */
   SystemTime since;
 };
 
-/** Remembers since when each condition holds as it does. */
+/** Tracks since when each condition has had its status and reason. */
 class ConditionTracker {
  public:
   explicit ConditionTracker(const TimeSource& time_source) : time_source_(time_source) {}
 
-  /** Takes the current form of a condition. @return the condition with its time. */
+  /** Records the current status of a condition. @return the condition with its start time. */
   Condition observe(const std::string& resource, const std::string& type, bool holds,
                     const std::string& reason) {
     Condition& known = conditions_[resource + "/" + type];
--- a/src/runtime/datagram_reader.cc
+++ b/src/runtime/datagram_reader.cc
@@ -42,7 +42,8 @@
   const int count = readMultiple(socket);
   if (count < 0) {
     if (!hasNoSuchCall(errno)) {
-      // Also an error that an earlier send has left: what waits behind it is announced again.
+      // May be a pending error of an earlier send; the event loop signals the datagrams behind it
+      // again.
       return {0, true};
     }
     receive_many_ = nullptr;
--- a/src/runtime/datagram_reader.h
+++ b/src/runtime/datagram_reader.h
@@ -13,40 +13,40 @@
 
 namespace lugfork {
 
-/** Reads several datagrams of a socket at once: by one system call where the system has it. */
+/** Reads datagrams of a socket in batches, with one system call each if the system supports it. */
 class DatagramReader {
  public:
-  /** Datagrams of one batch: some 20 ms of packets of a weak node, so that its timers wait no
-   * longer. */
+  /** Limit of one batch: about 20 ms of packets on a node with little CPU, which bounds the delay
+   * of its timers. */
   static constexpr std::size_t kMost = 32;
-  /** Longest datagram that comes whole; a longer one comes cut to that length, which is over the
-   * limit of a packet. [bytes] */
+  /** Longest datagram that is read completely; a longer one is truncated to this length, which
+   * exceeds the limit of a packet. [bytes] */
   static constexpr std::size_t kLargest = 2048;
 
   using Handler = std::function<void(std::span<const std::uint8_t>, Endpoint)>;
 
-  /** What one batch found. */
+  /** Result of reading one batch. */
   struct Batch {
     std::size_t datagrams = 0;
-    /** The socket held nothing more. */
+    /** The socket held no further datagram. */
     bool is_empty = false;
   };
 
   /** Signature of recvmmsg(). */
   using ReceiveMany = int (*)(int, mmsghdr*, unsigned, int, timespec*);
 
-  /** @param receive_many may fail with ENOSYS, EPERM, EOPNOTSUPP or EINVAL where the system has no
-   * such call: datagrams are read by single calls then. */
+  /** @param receive_many if it fails with ENOSYS, EPERM, EOPNOTSUPP or EINVAL, the system does not
+   * support it, and each datagram is read by a call of its own. */
   explicit DatagramReader(ReceiveMany receive_many = &::recvmmsg);
 
-  /** Reads what waits in a socket, up to kMost datagrams, and hands each over. Never blocks. */
+  /** Passes up to kMost pending datagrams of a socket to the handler. Never blocks. */
   Batch read(int socket, const Handler& handler);
 
-  /** @return true where datagrams are read one by one, since the system knows no other way. */
+  /** @return true if the system does not support batches, and datagrams are read one by one. */
   bool readsSingly() const { return receive_many_ == nullptr; }
 
  private:
-  /** @return number of datagrams read into the buffers, or -1 where the system can't. */
+  /** @return number of datagrams read into the buffers, or -1 on an error (errno). */
   int readMultiple(int socket);
   Batch readSingly(int socket, const Handler& handler);
 
@@ -54,9 +54,9 @@
     return {buffers_.get() + index * kLargest, kLargest};
   }
 
-  /** Null where the system has no such call. */
+  /** Null if the system does not support the call. */
   ReceiveMany receive_many_;
-  /** Not cleared: memory that no datagram fills is never used. */
+  /** Not cleared: memory that no datagram fills is never touched. */
   const std::unique_ptr<std::uint8_t[]> buffers_;
   std::array<mmsghdr, kMost> heads_{};
   std::array<iovec, kMost> places_{};
--- a/src/runtime/http_call_result.h
+++ b/src/runtime/http_call_result.h
@@ -7,7 +7,7 @@
 
 namespace lugfork {
 
-/** Turns the outcome of a GET into the errors of item sources. @return the body of a 200. */
+/** @return the body of a response with status 200, or the error of item sources for any other. */
 Result<std::string, SourceError> bodyOf(Result<HttpGetReply, HttpGetError> reply);
 
 }  // namespace lugfork
--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -9,19 +9,19 @@
 
 namespace lugfork {
 
-/** What a server answered. */
+/** Response of an HTTP server. */
 struct HttpReply {
   int status = 0;
   std::string etag;
   std::string body;
 };
 
-/** No answer: what went wrong, in words. */
+/** Describes why no response was received. */
 struct HttpClientError {
   std::string message;
 };
 
-/** What to ask of a server. */
+/** An HTTP request to send. */
 struct HttpCall {
   std::string method = "GET";
   Endpoint server;
@@ -34,7 +34,7 @@
   Duration timeout = seconds(2);
 };
 
-/** Makes one HTTP request (CivetWeb's client) and waits for the answer. */
+/** Sends one HTTP request (CivetWeb's client) and waits for the response. */
 Result<HttpReply, HttpClientError> httpRequest(const HttpCall& call);
 
 }  // namespace lugfork
--- a/src/runtime/http_get_client.cc
+++ b/src/runtime/http_get_client.cc
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kMaxBodyBytes = 8UL * 1024 * 1024;
 constexpr int kHttpVersion = 11;
-/** A connection behind a cut says nothing: probes find out within about three seconds. */
+/** A network partition closes no connection; keep-alive probes detect it in about three seconds. */
 constexpr int kProbeIdleSeconds = 1;
 constexpr int kProbeIntervalSeconds = 1;
 constexpr int kProbeCount = 2;
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-/** One TCP connection that makes one call at a time. */
+/** One TCP connection, which makes one call at a time. */
 class HttpGetClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(asio::io_context& io_context, Duration connect_timeout)
@@ -47,7 +47,7 @@
 
   using Callback = std::function<void(Result<HttpGetReply, HttpGetError>, bool)>;
 
-  /** @param callback also gets whether the connection can make another call. */
+  /** @param callback its second argument is true if the connection can be reused. */
   void get(const HttpGetCall& call, Callback callback) {
     callback_ = std::move(callback);
     server_ = call.server;
@@ -112,7 +112,7 @@
 
   void finish(Result<HttpGetReply, HttpGetError> result, bool reusable) {
     stream_.expires_never();
-    // One large answer does not keep its memory for the life of the connection.
+    // Frees the memory of a large response before the connection becomes idle.
     buffer_.shrink_to_fit();
     if (!reusable) {
       beast::error_code ignored;
--- a/src/runtime/http_get_client.h
+++ b/src/runtime/http_get_client.h
@@ -13,27 +13,27 @@
 
 namespace lugfork {
 
-/** No answer came, or none that HTTP knows. */
+/** No response was received, or it is not valid HTTP. */
 enum class HttpGetError { NoAnswer, Malformed };
 
-/** Answer to a GET. */
+/** Response to a GET. */
 struct HttpGetReply {
   unsigned status = 0;
   std::string body;
 };
 
-/** What to ask. */
+/** A GET request to send. */
 struct HttpGetCall {
   Endpoint server;
   /** Path with the query. */
   std::string target;
-  /** Time for the answer, from the moment that the connection stands. */
+  /** Timeout of the response, counted from when the connection is established. */
   Duration timeout = seconds(2);
   /** Sent as "Authorization: Bearer ..." unless empty. */
   std::string bearer_token;
 };
 
-/** Makes GET calls on the event loop (Boost.Beast) over connections that are kept open. */
+/** Sends GET requests on the event loop (Boost.Beast) over persistent connections. */
 class HttpGetClient {
  public:
   using Callback = std::function<void(Result<HttpGetReply, HttpGetError>)>;
@@ -41,7 +41,7 @@
   HttpGetClient(boost::asio::io_context& io_context, Duration connect_timeout);
   ~HttpGetClient();
 
-  /** Calls back once, from the event loop. */
+  /** Calls back exactly once, on the event loop. */
   void get(const HttpGetCall& call, Callback callback);
 
  private:
@@ -52,7 +52,7 @@
 
   boost::asio::io_context& io_context_;
   const Duration connect_timeout_;
-  /** Open connections without a call. */
+  /** Open connections without a pending call, by server. */
   std::map<Endpoint, std::vector<ConnectionPtr>> idle_;
 };
 
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -30,7 +30,7 @@
 
 std::string urlDecode(const std::string& text) {
   constexpr int kPlusIsSpace = 1;
-  // What is decoded is no longer than the text; CivetWeb adds the end of the text.
+  // The decoded text is never longer than the input; CivetWeb appends a null character.
   std::string decoded(text.size() + 1, '\0');
   const int size = mg_url_decode(text.data(), static_cast<int>(text.size()), decoded.data(),
                                  static_cast<int>(decoded.size()), kPlusIsSpace);
@@ -93,12 +93,12 @@
   mg_write(connection, bytes.data(), bytes.size());
 }
 
-/** @return true if both texts are the same; takes as long for any two of the same length. */
+/** @return true if both texts are equal; takes constant time for texts of equal length. */
 bool sameSecret(const std::string& left, const std::string& right) {
   return left.size() == right.size() && sodium_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
-/** Problem document (RFC 9457) of the server itself. */
+/** @return a problem document (RFC 9457) created by the server itself. */
 HttpResponse serverProblem(int status, const std::string& title) {
   HttpResponse response;
   response.status = status;
@@ -114,16 +114,16 @@
   return response;
 }
 
-/** @throws std::runtime_error where CivetWeb can't use the machine's OpenSSL. */
+/** @throws std::runtime_error if CivetWeb can't use the machine's OpenSSL. */
 void requireTls() {
   if ((mg_init_library(MG_FEATURES_SSL) & MG_FEATURES_SSL) == 0) {
-    throw std::runtime_error("HTTPS can't be had: CivetWeb can't use this machine's OpenSSL");
+    throw std::runtime_error("HTTPS is unavailable: CivetWeb can't use this machine's OpenSSL");
   }
 }
 
 /**
- * Connects to a server again and again while it closes: CivetWeb's accept loop looks at its stop
- * flag at each connection, and else only every two seconds.
+ * Connects to a server repeatedly while it closes: CivetWeb's accept loop checks its stop flag at
+ * each connection, and otherwise only every two seconds.
  */
 class AcceptWaker {
  public:
@@ -148,7 +148,7 @@
   std::jthread thread_;
 };
 
-/** The texts of CivetWeb's options, as it takes them: names and values by turns, then null. */
+/** @return CivetWeb's option array: alternating names and values, terminated by null. */
 std::vector<const char*> optionPointers(const std::vector<std::string>& options) {
   std::vector<const char*> pointers;
   pointers.reserve(options.size() + 1);
@@ -161,13 +161,13 @@
 
 }  // namespace
 
-/** One handler for all paths. */
+/** Authenticates requests and passes them to the handler. */
 class HttpServer::RequestAnswerer {
  public:
   RequestAnswerer(Handler handler, HttpServerSecurity security)
       : handler_(std::move(handler)), security_(std::move(security)) {}
 
-  /** What CivetWeb calls. @return 0 to leave the request to CivetWeb, which refuses it. */
+  /** CivetWeb callback. @return 0 to leave the request to CivetWeb, which rejects it. */
   static int onRequest(mg_connection* connection, void* answerer) {
     const std::string_view method = mg_get_request_info(connection)->request_method;
     if (method != "GET" && method != "POST" && method != "PUT" && method != "DELETE") {
@@ -183,7 +183,7 @@
     writeResponse(connection, isAuthorized(request) ? answer(request) : unauthorized());
   }
 
-  /** The threads are CivetWeb's: an exception that reached them would end the process. */
+  /** Catches exceptions: one that reached CivetWeb's threads would end the process. */
   HttpResponse answer(const HttpRequest& request) const {
     try {
       return handler_(request);
@@ -226,7 +226,7 @@
   const mg_callbacks no_callbacks{};
   server_ = mg_start(&no_callbacks, nullptr, optionPointers(options).data());
   if (server_ == nullptr) {
-    throw std::runtime_error("HTTP server at " + toString(address) + " can't be started");
+    throw std::runtime_error("HTTP server at " + toString(address) + " can't start");
   }
   mg_set_request_handler(server_, "/", &RequestAnswerer::onRequest, answerer_.get());
 }
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -14,7 +14,7 @@
 
 namespace lugfork {
 
-/** One HTTP request as a handler sees it. */
+/** An HTTP request as passed to a handler. */
 struct HttpRequest {
   std::string method;
   std::string path;
@@ -25,7 +25,7 @@
   std::string body;
 };
 
-/** Answer to an HttpRequest. */
+/** Response to an HttpRequest. */
 struct HttpResponse {
   int status = 200;
   std::string content_type = "application/json";
@@ -33,41 +33,41 @@
   std::string body;
 };
 
-/** What the server asks of its clients. */
+/** Encryption and authentication of an HttpServer. */
 struct HttpServerSecurity {
   /** Certificate and private key (PEM) for HTTPS; empty for plain HTTP. */
   std::string certificate_file;
-  /** Clients must send "Authorization: Bearer TOKEN"; empty lets everybody in. */
+  /** Clients must send "Authorization: Bearer TOKEN"; empty disables authentication. */
   std::string bearer_token;
-  /** Paths that need no token, for health checks of the fabric. */
+  /** Paths that need no token, for the health checks of the fabric. */
   std::set<std::string> open_paths;
 };
 
-/** Size of the server. */
+/** Limits of an HttpServer. */
 struct HttpServerLimits {
-  /** Requests that are answered at a time; each has a thread. */
+  /** Requests handled concurrently, each on its own thread. */
   unsigned threads = 16;
-  /** Further address at which the same server listens; unset for none. */
+  /** Additional listening address; unset for none. */
   Endpoint second_address;
-  /** Longest time for a request and its answer. */
+  /** Timeout of a request, including its response. */
   Duration request_timeout = seconds(10);
 };
 
-/** HTTP server (CivetWeb) with one handler for all paths, called on the server's own threads. */
+/** HTTP server (CivetWeb) with one handler for all paths, which runs on the server's threads. */
 class HttpServer {
  public:
   using Handler = std::function<HttpResponse(const HttpRequest&)>;
 
   /**
-   * @param address port 0 takes a free port.
-   * @param security never eased: where HTTPS can't be had the server does not start.
-   * @throws std::runtime_error where the address can't be bound.
+   * @param address port 0 selects a free port.
+   * @param security if it requires HTTPS and HTTPS is unavailable, the server does not start.
+   * @throws std::runtime_error if the address can't be bound.
    */
   HttpServer(Endpoint address, Handler handler, HttpServerSecurity security = {},
              HttpServerLimits limits = {});
   ~HttpServer();
 
-  /** @return the address that the server listens at. */
+  /** @return the listening address, with the port that the system chose. */
   Endpoint localAddress() const;
 
  private:
@@ -80,7 +80,7 @@
 
 /**
  * Closes a server whose handlers wait for the event loop: runs the stopped loop until the last
- * request is answered.
+ * request is answered, which avoids a deadlock.
  */
 void closeWhileServing(boost::asio::io_context& io_context, std::unique_ptr<HttpServer>& server);
 
--- a/src/runtime/json_event_log.cc
+++ b/src/runtime/json_event_log.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** Read on all threads that log, set where the settings are read again. */
+/** Read by all threads that log; set when the settings are reloaded. */
 std::atomic<LogLevel> lowest_level = LogLevel::Info;
 
-/** @param name as the settings check it. */
+/** @param name one of the level names that the settings accept. */
 LogLevel levelOf(std::string_view name) {
   if (name == "error") {
     return LogLevel::Error;
--- a/src/runtime/json_event_log.h
+++ b/src/runtime/json_event_log.h
@@ -10,30 +10,30 @@
 
 namespace lugfork {
 
-/** Who writes the log, and what is written. */
+/** Settings of a JsonEventLog: origin of the lines and levels. */
 struct LogSettings {
   std::string program;
   std::string node;
   std::string zone;
-  /** Lowest level written: debug, info, warn or error. */
+  /** Minimum level that is written: debug, info, warn or error. */
   std::string level = "info";
-  /** Levels for single components, by the component's name. */
+  /** Minimum levels of single components, by component name. */
   std::map<std::string, std::string> component_levels;
 };
 
-/** Sets the lowest level written by all components without a level of their own. */
+/** Sets the minimum level of all components without a level of their own. */
 void setLogLevel(const std::string& level);
 
 /**
- * EventLog that writes one JSON object a line to standard output, by itself until connectAppender()
- * and through log4cxx from then on. Never waits for a reader: a line that the output has no room
- * for is left out. Safe to use from several threads.
+ * EventLog that writes one JSON object per line to standard output: directly until
+ * connectAppender(), through log4cxx afterwards. Never waits for a reader: a line is dropped
+ * if the output can't take it at once. Thread-safe.
  */
 class JsonEventLog : public EventLog {
  public:
   explicit JsonEventLog(const LogSettings& settings);
 
-  /** Loads log4cxx's appender; where that fails, logs the cause and goes on writing directly. */
+  /** Loads log4cxx's appender; on failure, logs the cause and continues to write directly. */
   void connectAppender();
 
   void write(LogLevel level, std::string_view component, std::string_view event,
--- a/src/runtime/json_log_line.cc
+++ b/src/runtime/json_log_line.cc
@@ -26,7 +26,7 @@
   return "info";
 }
 
-/** @return true if the character stands for itself in a JSON string and is one byte of UTF-8. */
+/** @return true if the character is ASCII and needs no escape in a JSON string. */
 bool isPlain(char character) {
   constexpr char kFirstPrintable = ' ';
   constexpr char kLastAscii = 0x7f;
@@ -34,7 +34,7 @@
          character != '\\';
 }
 
-/** Appends a number that is not below zero, with leading zeros up to that many digits. */
+/** Appends a non-negative number, padded with leading zeros to that many digits. */
 void appendPadded(std::string& line, std::int64_t number, int digits) {
   constexpr std::int64_t kBase = 10;
   std::int64_t unit = 1;
@@ -47,9 +47,9 @@
 }
 
 /**
- * @return the time in UTC as RFC 3339 writes it, without the fraction of the second. Worked out
- * here: the C library reads the machine's time zone for it, six system calls before a process's
- * first line.
+ * @return the UTC time in RFC 3339 format, without the fraction of the second. Doesn't use the C
+ * library, which would read the machine's time zone, at the cost of six system calls before a
+ * process's first line.
  */
 std::string secondText(std::int64_t unix_second) {
   const std::chrono::sys_seconds time{seconds(unix_second)};
--- a/src/runtime/json_log_line.h
+++ b/src/runtime/json_log_line.h
@@ -10,17 +10,17 @@
 
 namespace lugfork {
 
-/** What one line says of its event. */
+/** Content of one log line. */
 struct LogEvent {
   LogLevel level = LogLevel::Info;
   std::string_view component;
   std::string_view name;
   std::initializer_list<LogField> fields;
-  /** Lines that were left out just before this one. */
+  /** Lines that were dropped just before this one. */
   std::uint64_t left_out_before = 0;
 };
 
-/** Who writes; the same in all lines. */
+/** Origin of the lines; the same in all lines of a process. */
 struct LogOrigin {
   std::string program;
   std::string node;
@@ -28,32 +28,31 @@
 };
 
 /**
- * Builds log lines as JSON objects. The text's memory, the constant fields and the timestamp's
- * second are kept from line to line: a line built as a JSON document, with its timestamp through a
- * stream, took 16 to 19 us of processor time until log4cxx had written it, one line of
- * this class 10 to 12 us (scripts/processor-budget.py).
+ * Builds log lines as JSON objects. Reuses the buffer, the constant fields and the timestamp up to
+ * its second, which reduces the CPU time of a line, including log4cxx, from 16 to 19 us (JSON
+ * document, timestamp through a stream) to 10 to 12 us (scripts/processor-budget.py).
  */
 class JsonLogLine {
  public:
   explicit JsonLogLine(const LogOrigin& origin);
 
-  /** @return the line with its line end; valid until the next call. */
+  /** @return the line, including the newline; valid until the next call. */
   const std::string& build(SystemTime now, const LogEvent& event);
 
  private:
   void appendTime(SystemTime now);
   void appendField(const LogField& field);
 
-  /** The constant fields around the component's, as they stand in the line. */
+  /** The serialised constant fields before and after the component. */
   std::string program_;
   std::string node_and_zone_;
   std::string line_;
   std::int64_t second_ = -1;
-  /** The timestamp up to its second, with the field's name. */
+  /** Start of the line: the timestamp field up to the second. */
   std::string second_text_;
 };
 
-/** Appends a text as a JSON string; bytes that are not UTF-8 become U+FFFD. */
+/** Appends a text as a JSON string; invalid UTF-8 is replaced by U+FFFD. */
 void appendJsonString(std::string& line, std::string_view text);
 
 }  // namespace lugfork
--- a/src/runtime/leave_timer.h
+++ b/src/runtime/leave_timer.h
@@ -4,17 +4,17 @@
 
 namespace lugfork {
 
-/** How long a balancer forwards after it was told to stop. */
+/** Settings of LeaveTimer: how long a balancer forwards after a planned stop began. */
 struct LeaveSettings {
-  /** Shortest time, for the network before it to send elsewhere. */
+  /** Minimum time, in which the network redirects traffic to other balancers. */
   Duration minimum = seconds(2);
-  /** Time without a datagram after which nothing more is expected. */
+  /** Time without a datagram after which no more are expected. */
   Duration quiet = seconds(1);
-  /** Longest time, whatever still arrives. */
+  /** Limit, even if datagrams still arrive. */
   Duration maximum = seconds(30);
 };
 
-/** Tells when a planned stop is done. */
+/** Decides when a planned stop is complete. */
 class LeaveTimer {
  public:
   explicit LeaveTimer(LeaveSettings settings) : settings_(settings) {}
--- a/src/runtime/log_appender.cc
+++ b/src/runtime/log_appender.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** The name that the build gives the module. */
+/** File name of the module, as set by the build. */
 constexpr const char* kModule = "lugfork-log4cxx.so";
 
-/** LogOutput that hands lines to the loaded module. */
+/** LogOutput that passes lines to the loaded module. */
 class LoadedAppender : public LogOutput {
  public:
   explicit LoadedAppender(AppendLogLine append) : append_(append) {}
@@ -38,7 +38,7 @@
 }  // namespace
 
 Result<std::unique_ptr<LogOutput>, std::string> loadLogAppender() {
-  // Never unloaded: log4cxx has threads and objects that live until the process ends.
+  // Never unloaded: threads and objects of log4cxx live until the process ends.
   void* module = dlopen(besideProgram(kModule).c_str(), RTLD_NOW | RTLD_LOCAL);
   if (module == nullptr) {
     return loaderError();
--- a/src/runtime/log_appender.h
+++ b/src/runtime/log_appender.h
@@ -9,14 +9,13 @@
 namespace lugfork {
 
 /**
- * Loads log4cxx's appender: a module that lies beside the program. log4cxx is no part of the
- * program itself, as its 5,200 relocations took 1.2 ms of processor time before the first line of
- * main().
- * @return the output, or why it can't be loaded.
+ * Loads log4cxx's appender, a module in the program's directory. log4cxx isn't linked into the
+ * program, as its 5,200 relocations take 1.2 ms of CPU time before main().
+ * @return the output, or the error of the dynamic loader.
  */
 Result<std::unique_ptr<LogOutput>, std::string> loadLogAppender();
 
-/** The module's one function; writes a line, which has its line end, to standard output. */
+/** Name of the module's only function, which writes a line with its newline to standard output. */
 inline constexpr const char* kAppendLogLine = "lugforkAppendLogLine";
 using AppendLogLine = void (*)(const char* line, std::size_t size);
 
--- a/src/runtime/log_output.h
+++ b/src/runtime/log_output.h
@@ -4,12 +4,12 @@
 
 namespace lugfork {
 
-/** Where finished log lines go. */
+/** Destination of complete log lines. */
 class LogOutput {
  public:
   virtual ~LogOutput() = default;
 
-  /** Writes one line, which has its line end. @return false where the line is lost. */
+  /** Writes one line, which includes the newline. @return false if the line is lost. */
   virtual bool write(std::string_view line) = 0;
 };
 
--- a/src/runtime/metric_families.h
+++ b/src/runtime/metric_families.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Adds one counter with its present value to a registry that is made for one answer. */
+/** Adds a counter with its current value to a registry that is built for one response. */
 inline void addCounter(prometheus::Registry& registry, const std::string& name,
                        const std::string& help, std::uint64_t value,
                        const prometheus::Labels& labels = {}) {
@@ -16,7 +16,7 @@
   family.Add(labels).Increment(static_cast<double>(value));
 }
 
-/** Adds one gauge with its present value. */
+/** Adds a gauge with its current value. */
 inline void addGauge(prometheus::Registry& registry, const std::string& name,
                      const std::string& help, double value, const prometheus::Labels& labels = {}) {
   prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add(labels).Set(value);
--- a/src/runtime/metric_page.cc
+++ b/src/runtime/metric_page.cc
@@ -17,7 +17,7 @@
   text.append(digits.data(), end.ptr);
 }
 
-/** Whole numbers are written as such, as readers look for "1", not for "1e+00". */
+/** Writes integers without an exponent, as readers match "1", not "1e+00". */
 void appendNumber(std::string& text, double value) {
   constexpr double kLargestExact = 9007199254740992;
   if (value >= 0 && value <= kLargestExact && value == std::floor(value)) {
@@ -46,7 +46,7 @@
   }
 }
 
-/** In the order of their names, so that a value has one name whoever adds it. */
+/** Sorts labels by name, so that a time series is always written the same way. */
 void appendLabels(std::string& text, MetricLabels labels) {
   if (labels.size() == 0) {
     return;
@@ -130,7 +130,7 @@
 
 std::string& MetricPage::familyText(std::string_view name, std::string_view help,
                                     std::string_view type) {
-  // Mostly the newest: values of one name are added one after the other.
+  // Searches from the newest, as values of one name are usually added one after the other.
   const auto found = std::find_if(families_.rbegin(), families_.rend(),
                                   [&](const Family& family) { return family.name == name; });
   if (found != families_.rend()) {
--- a/src/runtime/metric_page.h
+++ b/src/runtime/metric_page.h
@@ -9,20 +9,19 @@
 
 namespace lugfork {
 
-/** Labels of one value: names and texts. Views must outlive the call that they are given to only.
- */
+/** Names and values of labels; the views need to stay valid only during the call. */
 using MetricLabels = std::initializer_list<std::pair<std::string_view, std::string_view>>;
 
-/** Counts of observed values by upper bounds. For one thread. */
+/** Histogram of observed values. Not thread-safe. */
 class MetricHistogram {
  public:
-  /** @param bounds upper bounds of the buckets, rising; a value equal to one belongs to it. */
+  /** @param bounds inclusive upper bounds of the buckets, in ascending order. */
   explicit MetricHistogram(std::vector<double> bounds);
 
   void observe(double value);
 
   const std::vector<double>& bounds() const { return bounds_; }
-  /** One count for each bound, and one for what is above the last. */
+  /** One count per bound, and one for values above the last bound. */
   const std::vector<std::uint64_t>& counts() const { return counts_; }
   double sum() const { return sum_; }
 
@@ -33,22 +32,22 @@
 };
 
 /**
- * One page of figures in Prometheus' text format, made for one answer. Values of one name stand
- * together, in the order in which they were added. prometheus-cpp made the same page in 0.18 ms of
- * processor time; its library, and the C++ library that it shares, cost a start 0.5 ms more.
+ * One page of metrics in Prometheus' text format, built for one response. Values of one name are
+ * grouped, in the order of their addition. Replaces prometheus-cpp, which needs 0.18 ms of CPU time
+ * for the same page and, together with the shared C++ library, 0.5 ms more at start.
  */
 class MetricPage {
  public:
   void addCounter(std::string_view name, std::string_view help, std::uint64_t value,
                   MetricLabels labels = {});
-  /** A counter of what is no whole number, such as seconds. */
+  /** Adds a counter with a fractional value, such as seconds. */
   void addCounter(std::string_view name, std::string_view help, double value,
                   MetricLabels labels = {});
   void addGauge(std::string_view name, std::string_view help, double value,
                 MetricLabels labels = {});
   void addHistogram(std::string_view name, std::string_view help, const MetricHistogram& histogram);
 
-  /** @return the whole page. */
+  /** @return the complete page. */
   std::string text() const;
 
  private:
@@ -57,19 +56,19 @@
     std::string text;
   };
 
-  /** @return the text that the named family's values go to. */
+  /** @return the text of the named family; creates the family if it is new. */
   std::string& familyText(std::string_view name, std::string_view help, std::string_view type);
 
   std::vector<Family> families_;
 };
 
-/** Adds one counter with its present value to a page. */
+/** Adds a counter with its current value to a page. */
 inline void addCounter(MetricPage& page, std::string_view name, std::string_view help,
                        std::uint64_t value, MetricLabels labels = {}) {
   page.addCounter(name, help, value, labels);
 }
 
-/** Adds one gauge with its present value to a page. */
+/** Adds a gauge with its current value to a page. */
 inline void addGauge(MetricPage& page, std::string_view name, std::string_view help, double value,
                      MetricLabels labels = {}) {
   page.addGauge(name, help, value, labels);
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -7,7 +7,7 @@
 
 namespace lugfork {
 
-/** @return the node's counters in the Prometheus text format. */
+/** @return the node's metrics in the Prometheus text format. */
 std::string renderMetrics(const Node& node, const PeerTransport& peers);
 
 }  // namespace lugfork
--- a/src/runtime/node_daemon.cc
+++ b/src/runtime/node_daemon.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t kWorkerThreads = 8;
 constexpr Duration kHousekeepingInterval = seconds(5);
 constexpr Duration kWatchPollInterval = milliseconds(50);
-/** Watches at a time; the other threads of the HTTP server stay free for plain reads. */
+/** Limit of concurrent watches; keeps the other threads of the HTTP server free for plain reads. */
 constexpr int kMaxWatches = 8;
 constexpr const char* kConfigurationPath = "/v1/configuration";
 constexpr const char* kMachinesPath = "/v1/machines";
--- a/src/runtime/node_daemon.h
+++ b/src/runtime/node_daemon.h
@@ -17,7 +17,7 @@
 
 namespace lugfork {
 
-/** Addresses and tunables of the daemon around the node. */
+/** Settings of a NodeDaemon. */
 struct NodeDaemonSettings {
   NodeSettings node;
   Endpoint data_address;
@@ -27,11 +27,11 @@
   HttpServerSecurity api_security;
   Duration platform_timeout = seconds(2);
   Duration probe_timeout = milliseconds(500);
-  /** How long the node relays after a planned stop begins. */
+  /** How long the node forwards datagrams after a planned stop begins. */
   LeaveSettings leave;
 };
 
-/** Runs one Node on real sockets and clocks. */
+/** Runs one Node on sockets and the system clocks. */
 class NodeDaemon : private NodeOutputs {
  public:
   NodeDaemon(NodeDaemonSettings settings, EventLog& log);
@@ -51,11 +51,14 @@
   void readPlatform(const std::string& path, std::function<void(const std::string&)> callback);
   void onStopSignal();
   void stopWhenQuiet();
-  /** Called on the HTTP server's threads. */
+  /** Runs on the HTTP server's threads. */
   HttpResponse onHttpRequest(const HttpRequest& request);
   HttpResponse answer(const HttpRequest& request);
 
-  /** Blocks until the version is in force, the time is over or the daemon stops. */
+  /**
+   * Blocks until a version above `watch.from` is in force, the timeout ends or the daemon stops.
+   * @return true if such a version is in force.
+   */
   bool waitForVersionAbove(const WatchRequest& watch);
   void reportRefusedPeers();
   HttpServerSecurity apiSecurity() const;
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -13,27 +13,30 @@
 
 constexpr const char* kMetricsPath = "/metrics";
 constexpr Duration kLeaveCheckInterval = milliseconds(100);
-/** Readiness is asked for twice a second by one party, metrics every few seconds. */
+/** One thread each: one prober requests readiness twice a second, scrapers metrics every few
+ * seconds. */
 constexpr unsigned kReadyThreads = 1;
 constexpr unsigned kControlThreads = 1;
-/** No caller that stalls holds a thread for longer. */
+/** Longest time that a stalled HTTP client occupies a thread. */
 constexpr Duration kHttpTimeout = seconds(2);
 /** Time between reads of the packet socket before the first view: a quarter of the time after which
- * callers send an opening again, so that it is known which ones wait in vain. */
+ * clients retransmit an opening, so that expired openings are recognised. */
 constexpr Duration kEarlyReadInterval = milliseconds(50);
-/** Packets of open flows kept for the first view: what a weak node forwards within 0.3 s. */
+/** Packets of open flows kept until the first view: what a node with little CPU forwards in 0.3 s.
+ */
 constexpr std::size_t kMostEarlyPackets = 512;
-/** Openings served before the socket is read again: some 10 ms of a weak node. */
+/** Openings served before the socket is read again: about 10 ms on a node with little CPU. */
 constexpr std::size_t kOpeningsOfTurn = 16;
-/** Openings served of each full batch where the socket does not empty: new flows get a share. */
+/** Openings served per full batch while the socket does not empty, so that new flows are still
+ * placed. */
 constexpr std::size_t kOpeningsOfFullBatch = 2;
-/** Pause after which a datagram most likely came alone: a third of the time that a weak node needs
- * for it. */
+/** Pause after which a datagram most likely arrived alone: a third of the time that a node with
+ * little CPU needs to handle one. */
 constexpr Duration kPauseBetweenDatagrams = std::chrono::microseconds(300);
-/** Log lines a second for each event while behind: a line costs as much as half a packet. */
+/** Log lines per second and event while behind; a line costs half as much CPU time as a packet. */
 constexpr double kLogLinesBehind = 5;
 
-/** @return how other balancers are to know this one. */
+/** @return the entry under which peers list this balancer. */
 KnownPeer selfOf(const PacketDaemonSettings& settings) {
   return {settings.control_address, settings.link};
 }
@@ -215,7 +218,7 @@
   if (evidence_exchange_ != nullptr) {
     evidence_exchange_->start();
   }
-  // While the first view is on its way: nobody is sent here before it is whole.
+  // Started while the first view is read: the readiness check fails until the view is complete.
   startServers();
   readEarlyPackets();
   io_context_.run();
@@ -358,9 +361,9 @@
 }
 
 void PacketDaemon::resetCaller(const FlowPacket& packet) {
-  // Callers take packets at the port number that balancers have.
-  const Endpoint caller{packet.caller.address, settings_.packet_address.port};
-  socket_.sendBytes(caller, codec_.encodeReset(packet));
+  // Clients receive packets on the same port number as balancers.
+  const Endpoint client{packet.caller.address, settings_.packet_address.port};
+  socket_.sendBytes(client, codec_.encodeReset(packet));
 }
 
 void PacketDaemon::awaitSignal() {
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -27,25 +27,26 @@
 
 namespace lugfork {
 
-/** Addresses and tunables around a PacketNode. */
+/** Settings of a PacketDaemon: addresses, and the settings of its parts. */
 struct PacketDaemonSettings {
   PacketNodeSettings node;
-  /** Callers' packets (UDP). */
+  /** Receives the clients' packets (UDP). */
   Endpoint packet_address;
-  /** Readiness (HTTP). */
+  /** Serves the readiness check (HTTP). */
   Endpoint ready_address;
   std::string ready_path;
-  /** Metrics (HTTP), and the address by which balancers know each other; unset for none. */
+  /** Serves metrics (HTTP) and identifies this balancer to its peers; unset for none. */
   Endpoint control_address;
-  /** Second address of the same server, for who reads metrics; unset for none. */
+  /** Second address of the control server, for metrics scrapers; unset for none. */
   Endpoint metrics_address;
-  /** Control addresses of balancers that may be there. */
+  /** Control addresses of possible peers, for the first contact. */
   std::vector<Endpoint> seeds;
-  /** Rate of this machine's link; the fastest links carry the changes of the fleet. */
+  /** Rate class of this machine's link; balancers with the fastest links relay the store's changes.
+   */
   LinkClass link = 0;
   PeerDirectorySettings peers;
   PeerExchangeSettings peer_exchange;
-  /** Where balancers read each other's views (UDP); unset to know no other. */
+  /** Serves and requests views (UDP); unset to run without peers. */
   Endpoint peer_address;
   ViewClientSettings view_client;
   ViewProviderSettings provider;
@@ -53,7 +54,7 @@
   UpstreamSettings upstream;
   UpstreamSourceSettings source;
   HedgedReadSettings hedged_reads;
-  /** Its prefixes come from the platform's layout. */
+  /** The prefixes are set from the platform's layout. */
   SplitFeedSettings split_feeds;
   LeaveSettings leave;
   LogLimits log_limits;
@@ -61,28 +62,28 @@
   OpeningBacklogSettings opening_backlog;
 };
 
-/** What ties the daemon to a platform. */
+/** The platform-specific parts of a PacketDaemon. */
 struct PlatformBinding {
   const PacketCodec& codec;
   const PlatformLayout& layout;
   ItemSource& source;
 };
 
-/** Runs one PacketNode on real sockets and clocks. */
+/** Runs one PacketNode on sockets and the system clocks. */
 class PacketDaemon : private PacketSender, private UpstreamListener, private ViewOwner {
  public:
-  /** @param reload called on SIGHUP; returns an empty text, or why the settings were not taken. */
+  /** @param reload called on SIGHUP; returns an empty string, or why the settings were rejected. */
   PacketDaemon(boost::asio::io_context& io_context, PacketDaemonSettings settings,
                const PlatformBinding& platform, EventLog& log, std::function<std::string()> reload);
 
   /**
-   * Asks for the first view, then answers readiness and metrics, and runs until a planned stop
-   * (SIGTERM or SIGINT) is complete.
-   * @throws std::runtime_error where an address can't be bound.
+   * Requests the first view, serves readiness and metrics, and runs until a planned stop (SIGTERM
+   * or SIGINT) is complete.
+   * @throws std::runtime_error if an address can't be bound.
    */
   void run();
 
-  /** @return true where callers' repetitions may be due to this balancer's own delay. */
+  /** @return true if this balancer's own delay may have caused the clients' retransmissions. */
   bool evidenceIsStale() const {
     return receive_backlog_.evidenceIsStale(time_source_.monotonicTime());
   }
@@ -98,19 +99,19 @@
   const ItemView& view() const override { return node_.follower().view(); }
   ViewStatus viewStatus() const override;
 
-  /** Both return null where this balancer knows no other. */
+  /** Both return null if this balancer runs without peers. */
   std::unique_ptr<UdpPeerSocket> makePeerSocket();
   std::unique_ptr<ViewClient> makeViewClient();
   void connectPeers();
   void connectEvidence();
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from);
-  /** Reads what waits for the first view, so that it is known since when. */
+  /** Reads the packets that arrive before the first view, to record when they arrived. */
   void readEarlyPackets();
   void onComplete();
   void serveEarlyPackets(std::size_t most);
-  /** Serves openings after packets of open flows. @return true where more wait. */
+  /** Serves openings after packets of open flows. @return true if more are pending. */
   bool onTurn(const ReceiveTurn& turn);
-  /** @return true where the batch at hand began just after the last one ended. */
+  /** @return true if the current batch began shortly after the previous one ended. */
   bool moreExpected() const;
   void onBehindChanged();
   void addOpening(const FlowPacket& packet, std::span<const std::uint8_t> bytes);
@@ -123,10 +124,10 @@
   void reload();
   void startLeaving();
   void stopWhenDone();
-  /** Closes the control server on another thread: CivetWeb takes up to 2 s for it. */
+  /** Closes the control server on another thread, as CivetWeb takes up to 2 s to close. */
   void closeControlServer();
   void startServers();
-  /** Both are called on the HTTP servers' threads. */
+  /** Both run on the HTTP servers' threads. */
   HttpResponse onReadyRequest(const HttpRequest& request) const;
   HttpResponse onControlRequest(const HttpRequest& request);
 
@@ -142,7 +143,7 @@
   HedgedReads hedged_store_;
   SplitFeedSource split_store_;
   UpstreamSelector selector_;
-  /** These four are null where this balancer knows no other. */
+  /** The next four are null if this balancer runs without peers. */
   std::unique_ptr<UdpPeerSocket> peer_socket_;
   std::unique_ptr<ViewClient> view_client_;
   std::unique_ptr<PeerExchange> peer_exchange_;
@@ -150,7 +151,7 @@
   UpstreamSource source_;
   ThreadProcessorClock processor_clock_;
   PacketNode node_;
-  /** Null where this balancer knows no other, or shares no evidence. */
+  /** Null if this balancer runs without peers or shares no evidence. */
   std::unique_ptr<EvidenceExchange> evidence_exchange_;
   ReceiveBacklog receive_backlog_;
   OpeningBacklog openings_;
@@ -165,19 +166,19 @@
   std::atomic<bool> control_closed_ = false;
   std::jthread closer_;
   std::atomic<bool> ready_ = false;
-  /** When a packet was first forwarded, as machineTime() counts. */
+  /** When a packet was first forwarded, on the clock of machineTime(). */
   std::optional<Duration> first_packet_at_;
-  /** Packets of open flows that came before the first view, the latest ones. */
+  /** The latest packets of open flows that arrived before the first view. */
   std::deque<std::vector<std::uint8_t>> early_packets_;
   bool is_serving_ = false;
   bool was_behind_ = false;
   std::size_t datagrams_held_ = 0;
-  /** When the batch at hand was read; unset between batches. */
+  /** When the current batch was read; unset between batches. */
   std::optional<MonotonicTime> batch_at_;
   MonotonicTime turn_ended_at_;
-  /** When the packet before the one at hand was handled. */
+  /** When the previous packet was handled. */
   MonotonicTime handled_at_;
-  /** The packet at hand, while the node decides on it. */
+  /** The packet that the node is handling. */
   std::span<const std::uint8_t> packet_;
   std::vector<std::uint8_t> datagram_;
 };
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -126,7 +126,7 @@
              counters.bytes);
 }
 
-/** What is let in, by service and priority, and what that goes by. */
+/** Adds admission verdicts by service and priority, and the load that admission is based on. */
 void addLoad(MetricPage& page, const PacketNode& node) {
   if (node.configuration() == nullptr) {
     return;
@@ -158,7 +158,7 @@
   }
 }
 
-/** What leaves the zone, by service. */
+/** Adds new flows by service, zone and overflow cause. */
 void addLocality(MetricPage& page, const PacketNode& node) {
   if (node.configuration() == nullptr) {
     return;
--- a/src/runtime/packet_metrics.h
+++ b/src/runtime/packet_metrics.h
@@ -14,55 +14,55 @@
 
 namespace lugfork {
 
-/** Counts of the sockets around a PacketNode. */
+/** Counters of the packet socket of a PacketNode. */
 struct PacketSocketCounters {
   std::uint64_t packets_received = 0;
   std::array<std::uint64_t, kPacketErrorCount> packets_invalid{};
-  /** Packets of open flows that came before the first view and had no room. */
+  /** Packets of open flows that arrived before the first view and exceeded the buffer. */
   std::uint64_t early_packets_dropped = 0;
-  /** Openings that were rejected since they had waited for this balancer's processor. */
+  /** Openings that were rejected while this balancer lagged behind its packet socket. */
   std::uint64_t openings_rejected = 0;
 };
 
-/** Where the counts of the page stand. */
+/** Objects and values that the metrics page is built from. */
 struct PacketFigures {
   const PacketNode& node;
   const PacketSocketCounters& sockets;
   const UpstreamSource& source;
-  /** Reads of the store that were sent again. */
+  /** Hedged reads of the store, which were sent a second time. */
   std::uint64_t hedged_reads = 0;
-  /** These are unset where the node knows no other. */
+  /** The next three are null if the balancer runs without peers. */
   const ViewProvider* provider = nullptr;
   const ViewClient* view_client = nullptr;
   const UdpPeerSocket* peer_socket = nullptr;
   std::uint64_t log_lines_left_out = 0;
-  /** When a packet was first forwarded, as machineTime() counts; unset before. */
+  /** When a packet was first forwarded, on the clock of machineTime(); unset before. */
   std::optional<Duration> first_packet_at;
-  /** Unset where the node shares no evidence of silent servers. */
+  /** Null if the balancer shares no evidence of silent backends. */
   const EvidenceExchange* evidence = nullptr;
-  /** Unset where packets are not read in batches. */
+  /** The next two are null if packets are not read in batches. */
   const ReceiveBacklog* receive_backlog = nullptr;
   const OpeningBacklog* openings = nullptr;
 };
 
-/** Latency histograms that are filled while the node runs, and the page with all figures. */
+/** Holds the latency histograms and renders the metrics page. */
 class PacketMetrics {
  public:
   PacketMetrics();
 
-  /** Notes the time from a flow's opening to the caller's next packet. */
+  /** Records the time from a flow's opening to the client's next packet. */
   void onHandshake(Duration duration) { handshake_.observe(toSeconds(duration)); }
 
-  /** Notes the time from a request's first packet to the beginning of its answer. */
+  /** Records the time from a request's first packet to the start of its response. */
   void onResponse(Duration duration) { response_.observe(toSeconds(duration)); }
 
-  /** Notes the time of one read of the platform's store. */
+  /** Records the duration of one read of the platform's store. */
   void onStoreRead(Duration duration) { store_read_.observe(toSeconds(duration)); }
 
-  /** Notes the time in which one packet was handled. */
+  /** Records the handling time of one packet. */
   void onPacketHandled(Duration duration) { handling_.observe(toSeconds(duration)); }
 
-  /** @return all figures in the Prometheus text format. */
+  /** @return all metrics in the Prometheus text format. */
   std::string render(const PacketFigures& figures) const;
 
  private:
--- a/src/runtime/peer_gate.cc
+++ b/src/runtime/peer_gate.cc
@@ -15,7 +15,7 @@
                                ZMQ_EVENT_HANDSHAKE_FAILED_PROTOCOL |
                                ZMQ_EVENT_HANDSHAKE_FAILED_AUTH;
 
-/** Positions of frames in an authentication request (ZAP). */
+/** Indices of frames in an authentication request (ZAP). */
 constexpr std::size_t kRequestIdFrame = 1;
 constexpr std::size_t kMechanismFrame = 5;
 constexpr std::size_t kKeyFrame = 6;
--- a/src/runtime/peer_security.cc
+++ b/src/runtime/peer_security.cc
@@ -17,7 +17,7 @@
   return text.size() == kPeerKeyTextLength && zmq_z85_decode(key.data(), text.c_str()) != nullptr;
 }
 
-/** A leading "-" or "[" would be taken for a flag or a list. */
+/** @return false for "-" or "[", among others, which would be parsed as a flag or a list. */
 bool startsPlainly(char first) {
   return std::isalnum(static_cast<unsigned char>(first)) != 0;
 }
@@ -37,7 +37,7 @@
     return "peer-secret-key must be a CURVE key of 40 characters (Z85)";
   }
   if (settings.public_key != derived.data()) {
-    return "peer-public-key must belong to peer-secret-key";
+    return "peer-public-key must be the public key of peer-secret-key";
   }
   for (const std::string& key : settings.allowed_keys) {
     if (!isKey(key)) {
--- a/src/runtime/peer_status_table.h
+++ b/src/runtime/peer_status_table.h
@@ -9,24 +9,24 @@
 
 namespace lugfork {
 
-/** What a peer last said of itself. */
+/** Status that a peer last reported. */
 struct PeerStatus {
-  /** Version in force there. */
+  /** Version in force at the peer. */
   ConfigVersion version;
   SystemTime heard_at;
 };
 
-/** Version in force at each peer that this node heard from, by the peer's name. */
+/** Version in force at each peer that has reported it, by peer name. */
 class PeerStatusTable {
  public:
   explicit PeerStatusTable(const TimeSource& time_source) : time_source_(time_source) {}
 
-  /** Notes what a message says of its sender. */
+  /** Records the status that a message reports of its sender. */
   void onMessage(const PeerMessage& message) {
     std::visit([this](const auto& body) { note(body); }, message);
   }
 
-  /** @return the last word of a peer, or nullptr. */
+  /** @return the last reported status of a peer, or nullptr. */
   const PeerStatus* find(const std::string& name) const {
     const auto found = peers_.find(name);
     return found == peers_.end() ? nullptr : &found->second;
--- a/src/runtime/peer_transport.h
+++ b/src/runtime/peer_transport.h
@@ -11,36 +11,37 @@
 
 namespace lugfork {
 
-/** Counts of the peer transport since the start of the process. */
+/** Counters of the peer transport since the start of the process. */
 struct PeerTransportCounters {
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
   std::uint64_t messages_sent = 0;
   std::uint64_t messages_received = 0;
-  /** Frames that are no peer message, or whose sender gave no address. */
+  /** Frames that are no valid peer message, or whose routing id is no address. */
   std::uint64_t messages_rejected = 0;
-  /** Messages not sent because the peer takes none at the moment. */
+  /** Messages not sent because the send queue of the peer is full. */
   std::uint64_t messages_dropped = 0;
 };
 
 /**
- * Peer messages as ZeroMQ frames: one ROUTER socket receives, one DEALER socket for each peer
- * sends. A sender gives its own peer address as the routing id. All calls on the event loop.
+ * Sends and receives peer messages as ZeroMQ frames: one ROUTER socket receives, one DEALER socket
+ * per peer sends. The routing id is the peer address of the sender. All calls must be made on the
+ * event loop.
  */
 class PeerTransport {
  public:
   using Handler = std::function<void(Endpoint, const PeerMessage&)>;
 
-  /** @throws std::runtime_error where the address can't be bound or a key is wrong. */
+  /** @throws std::runtime_error if the address can't be bound or a key is invalid. */
   PeerTransport(boost::asio::io_context& io_context, Endpoint address,
                 PeerSecuritySettings security, Handler handler);
 
-  /** Sends without waiting; a message to a peer that is away is dropped. */
+  /** Sends without blocking; drops the message if the send queue of the peer is full. */
   void send(Endpoint peer, const PeerMessage& message);
 
   const PeerTransportCounters& counters() const { return counters_; }
 
-  /** @return connection attempts refused because of their keys since the start. */
+  /** @return connection attempts rejected because of their keys since the start. */
   std::uint64_t refusedPeers() const { return gate_ == nullptr ? 0 : gate_->refused(); }
 
  private:
--- a/src/runtime/periodic_timer.h
+++ b/src/runtime/periodic_timer.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Calls a function at a fixed interval on the event loop until it is destroyed. */
+/** Calls a function on the event loop at a fixed interval until the timer is destroyed. */
 class PeriodicTimer {
  public:
   PeriodicTimer(boost::asio::io_context& io_context, Duration interval,
--- a/src/runtime/process_times.cc
+++ b/src/runtime/process_times.cc
@@ -31,7 +31,8 @@
 }
 
 std::optional<Duration> processStartedAt() {
-  // The name in parentheses may hold spaces; 19 fields stand between it and the start.
+  // The process name, in parentheses, may contain spaces; 19 fields precede the start time after
+  // it.
   constexpr int kFieldsBefore = 19;
   constexpr auto kAll = std::numeric_limits<std::streamsize>::max();
   std::ifstream stat("/proc/self/stat");
--- a/src/runtime/process_times.h
+++ b/src/runtime/process_times.h
@@ -6,15 +6,15 @@
 
 namespace lugfork {
 
-/** @return processor time that all threads of this process have used. */
+/** @return CPU time used by all threads of this process, in user and kernel mode. */
 Duration processorTime();
 
-/** @return time since the machine's start. */
+/** @return time since the machine booted. */
 Duration machineTime();
 
 /**
- * @return when this process began, before its libraries were loaded, as machineTime() counts; to 10
- * ms. Unset where the system does not say.
+ * @return when this process started, before its libraries were loaded, on the clock of
+ * machineTime(), with a resolution of 10 ms; unset if the system does not report it.
  */
 std::optional<Duration> processStartedAt();
 
--- a/src/runtime/program.h
+++ b/src/runtime/program.h
@@ -10,30 +10,30 @@
 #include "common/endpoint_parser.h"
 #include "common/time_source.h"
 
-/** What all programs share: exit codes, checks of flags, and calls into the event loop. */
+/** Shared by all programs: exit codes, flags with checks, and calls into the event loop. */
 namespace lugfork {
 
 inline constexpr int kExitSuccess = 0;
-/** The program ran and what was asked did not come out. */
+/** The program ran, but the requested operation failed. */
 inline constexpr int kExitFailure = 1;
-/** Flags, settings or input files are wrong; nothing was done. */
+/** Flags, settings or input files are invalid; nothing was done. */
 inline constexpr int kExitUsage = 2;
 
-/** Flag that takes "a.b.c.d:port" and checks it. */
+/** Adds a flag that takes "a.b.c.d:port". */
 CLI::Option* addEndpointOption(CLI::App& app, const std::string& name, Endpoint& endpoint,
                                const std::string& description);
 
-/** Flag that takes a list of "a.b.c.d:port". */
+/** Adds a flag that takes a comma-separated list of "a.b.c.d:port". */
 CLI::Option* addEndpointListOption(CLI::App& app, const std::string& name,
                                    std::vector<Endpoint>& endpoints,
                                    const std::string& description);
 
-/** Flag that takes whole milliseconds in [lowest, highest]. */
+/** Adds a flag that takes an integer number of milliseconds in [lowest, highest]. */
 CLI::Option* addMillisecondsOption(CLI::App& app, const std::string& name, Duration& duration,
                                    milliseconds lowest, milliseconds highest,
                                    const std::string& description);
 
-/** Calls a function on the event loop from another thread and waits for its result. */
+/** Runs a function on the event loop from another thread and blocks until its result. */
 template <typename Function>
 auto callOnLoop(boost::asio::io_context& io_context, Function function) {
   std::packaged_task<decltype(function())()> task(std::move(function));
@@ -43,8 +43,8 @@
 }
 
 /**
- * Makes the C library give memory back to the system soon after it was freed, for daemons that read
- * a large document now and then.
+ * Makes the C library return freed memory to the system early, for daemons that occasionally read a
+ * large document.
  */
 void returnFreedMemory();
 
--- a/src/runtime/resource_api.cc
+++ b/src/runtime/resource_api.cc
@@ -14,7 +14,7 @@
 constexpr const char* kPrefix = "/v1/";
 constexpr Duration kDefaultWatch = seconds(30);
 
-/** @return the whole text as a number, or nothing. */
+/** @return the number, or nothing if the text contains anything else. */
 std::optional<std::uint64_t> parseNumber(const std::string& text) {
   std::uint64_t number = 0;
   const char* const end = text.data() + text.size();
--- a/src/runtime/resource_api.h
+++ b/src/runtime/resource_api.h
@@ -9,29 +9,29 @@
 
 namespace lugfork {
 
-/** A read that waits until a version above the given one is in force. */
+/** Request to wait until a version above `from` is in force. */
 struct WatchRequest {
   ConfigVersion from;
   Duration timeout{};
 };
 
-/** What the parameters of a request say about watching. */
+/** Watch parameters of a request. */
 struct WatchParameters {
   /** Unset for a plain read. */
   std::optional<WatchRequest> watch;
-  /** What is wrong with the parameters; empty where nothing is. */
+  /** Error message; empty if the parameters are valid. */
   std::string problem;
 };
 
-/** Longest wait of one watch. */
+/** Upper limit of the timeout of a watch. */
 inline constexpr Duration kMaxWatch = seconds(60);
 
-/** Reads `watch_from` and `timeout_ms` of a request's query. */
+/** Parses `watch_from` and `timeout_ms` of a request's query. */
 WatchParameters parseWatch(const HttpRequest& request);
 
 /**
- * Resource API of one balancer (docs/API.md). All calls must run where the node runs; a watch is
- * waited for outside (WatchParameters) and then read as any other request.
+ * Resource API of one balancer (docs/API.md). All calls must be made on the event loop of the node.
+ * The caller of handle() waits for a watch (WatchParameters) before it passes on the request.
  */
 class ResourceApi {
  public:
@@ -42,7 +42,7 @@
 
   void setMachines(std::vector<Machine> machines) { views_.setMachines(std::move(machines)); }
 
-  /** Notes the conditions of all resources; to be called every few seconds. */
+  /** Records the conditions of all resources; must be called every few seconds. */
   void observeConditions() { views_.observeAll(); }
 
  private:
--- a/src/runtime/resource_views.cc
+++ b/src/runtime/resource_views.cc
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 constexpr const char* kPlaceable = "placeable";
-/** Names of peers that are behind in one answer, at most. */
+/** Maximum number of peers listed as behind in one response. */
 constexpr std::size_t kListedBehind = 10;
 
 json toJson(const BackendReport& report) {
--- a/src/runtime/resource_views.h
+++ b/src/runtime/resource_views.h
@@ -9,27 +9,27 @@
 namespace lugfork {
 
 /**
- * Builds the resources of the API: each has `metadata` (kind, name, id), `spec` (what is declared,
- * with the version that declares it) and `status` (what this node sees, with conditions).
+ * Builds the resources of the API: each has `metadata` (kind, name, id), `spec` (the declared
+ * configuration and its version) and `status` (as observed by this node, with conditions).
  */
 class ResourceViews {
  public:
   ResourceViews(const Node& node, const PeerStatusTable& peers, const TimeSource& time_source)
       : node_(node), peers_(peers), conditions_(time_source) {}
 
-  /** The platform's list, which declares the nodes. */
+  /** Sets the platform's list of machines, which declares the nodes. */
   void setMachines(std::vector<Machine> machines) { machines_ = std::move(machines); }
 
-  /** Notes the conditions of all resources, so that their times are right between reads. */
+  /** Records the conditions of all resources, so that their start times don't depend on reads. */
   void observeAll();
 
   /** @return true for zones, services, backends and nodes. */
   static bool isCollection(const std::string& name);
 
-  /** @return the resources of a collection; the configuration must be in force. */
+  /** @return the resources of a collection; a configuration must be in force. */
   nlohmann::json collection(const std::string& name);
 
-  /** @return how far the version in force here is in force on the known peers. */
+  /** @return how many known peers have the local version in force, and which don't. */
   nlohmann::json spread() const;
 
  private:
--- a/src/runtime/simulation_page.cc
+++ b/src/runtime/simulation_page.cc
@@ -14,7 +14,7 @@
 constexpr int kGroupGap = 10;
 constexpr int kValueWidth = 120;
 
-/** One measure of a chart and how it is drawn. */
+/** One measure of a chart and its colour. */
 struct Measure {
   const char* name;
   const char* colour;
@@ -23,7 +23,7 @@
 
 constexpr Measure kBrokenFlows[] = {
     {"planned changes", "#c0392b", &SimulationResult::broken_planned},
-    {"unplanned deaths of back ends", "#7f8c8d", &SimulationResult::broken_unplanned},
+    {"unplanned backend failures", "#7f8c8d", &SimulationResult::broken_unplanned},
 };
 constexpr Measure kImbalance[] = {
     {"median", "#2980b9", &SimulationResult::imbalance_p50},
@@ -122,7 +122,7 @@
                                                             const std::string& json_text) {
   const auto document = nlohmann::ordered_json::parse(json_text, nullptr, false);
   if (!document.is_object()) {
-    return std::string("must be the one JSON object that lugfork-sim run prints");
+    return std::string("must be the single JSON object that lugfork-sim run prints");
   }
   SimulationResult result;
   result.label = label;
@@ -152,7 +152,7 @@
           "<body><h1>lugfork: simulated fleets by router and placement</h1>\n";
   if (!results.empty()) {
     page << chart("Broken flows", results, kBrokenFlows)
-         << chart("Imbalance: busiest back end over the mean", results, kImbalance)
+         << chart("Imbalance: busiest backend over the mean", results, kImbalance)
          << table(results);
   }
   page << "</body></html>\n";
--- a/src/runtime/simulation_page.h
+++ b/src/runtime/simulation_page.h
@@ -7,23 +7,23 @@
 
 namespace lugfork {
 
-/** Totals of one `lugfork-sim run --format json`, as far as the page draws them. */
+/** Totals of one `lugfork-sim run --format json` that the page shows. */
 struct SimulationResult {
-  /** Router and placement that the run used, in the words of whoever ran it. */
+  /** Free text that names the router and placement of the run. */
   std::string label;
   double broken_planned = 0;
   double broken_unplanned = 0;
   double imbalance_p50 = 0;
   double imbalance_p99 = 0;
-  /** All fields of the result, in its order, as text. */
+  /** All fields of the result as text, in their original order. */
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/** Reads one result. @return the result, or what is wrong with the text. */
+/** Parses one result. @return the result, or an error message. */
 Result<SimulationResult, std::string> parseSimulationResult(const std::string& label,
                                                             const std::string& json_text);
 
-/** @return an HTML page on its own: two bar charts (SVG) and a table of all fields. */
+/** @return a self-contained HTML page: two bar charts (SVG) and a table of all fields. */
 std::string renderSimulationPage(const std::vector<SimulationResult>& results);
 
 }  // namespace lugfork
--- a/src/runtime/standard_output.h
+++ b/src/runtime/standard_output.h
@@ -4,13 +4,13 @@
 
 namespace lugfork {
 
-/** LogOutput that writes to standard output itself, for a process's first seconds. */
+/** LogOutput that writes directly to standard output; used until log4cxx is loaded. */
 class StandardOutput : public LogOutput {
  public:
   bool write(std::string_view line) override;
 };
 
-/** @return true if a line can be written without waiting: a pipe then takes PIPE_BUF bytes. */
+/** @return true if a line can be written without blocking; a pipe then accepts PIPE_BUF bytes. */
 bool standardOutputHasRoom();
 
 }  // namespace lugfork
--- a/src/runtime/stop_signals.h
+++ b/src/runtime/stop_signals.h
@@ -2,7 +2,7 @@
 
 #include <csignal>
 
-/** Holds the signals that a daemon handles (SIGTERM, SIGINT, SIGHUP) until its handlers exist. */
+/** Blocks the signals that a daemon handles (SIGTERM, SIGINT, SIGHUP) until it has handlers. */
 namespace lugfork {
 
 /** Changes the thread's signal mask. @param how SIG_BLOCK or SIG_UNBLOCK. */
@@ -16,14 +16,14 @@
 }
 
 /**
- * Keeps them waiting, in this thread and those that it starts. To be called before anything else: a
- * SIGTERM in a start's first milliseconds would end the daemon without its planned stop.
+ * Blocks the signals in this thread and the threads that it starts. Must be called first: a SIGTERM
+ * in the first milliseconds would otherwise end the daemon without a planned stop.
  */
 inline void holdStopSignals() {
   maskStopSignals(SIG_BLOCK);
 }
 
-/** Delivers those that wait and all that come; to be called once their handlers exist. */
+/** Delivers pending and later signals; must be called once the handlers are installed. */
 inline void deliverStopSignals() {
   maskStopSignals(SIG_UNBLOCK);
 }
--- a/src/runtime/udp_endpoint.cc
+++ b/src/runtime/udp_endpoint.cc
@@ -13,8 +13,8 @@
 
 constexpr std::size_t kLargestDatagram = 65536;
 constexpr int kSocketBufferBytes = 4 * 1024 * 1024;
-/** What the system counts for a small datagram with its own book-keeping, by half: it doubles the
- * size that is set. */
+/** Half of what the kernel accounts for a small datagram with its overhead, as it doubles the
+ * buffer size that is set. [bytes] */
 constexpr std::size_t kBytesOfSmallDatagram = 512;
 
 udp::endpoint toAsio(Endpoint endpoint) {
@@ -71,7 +71,7 @@
 }
 
 void UdpEndpoint::awaitDatagram() {
-  // A wait for readiness alone costs a system call more than a read that waits.
+  // Waiting for readiness alone would cost one more system call than an asynchronous read.
   socket_.async_receive_from(boost::asio::buffer(buffer_.get(), DatagramReader::kLargest), sender_,
                              [this](const boost::system::error_code& error, std::size_t size) {
                                if (error == boost::asio::error::operation_aborted) {
@@ -114,7 +114,7 @@
 }
 
 void UdpEndpoint::sendBytes(Endpoint destination, std::span<const std::uint8_t> bytes) {
-  // A datagram that can't be sent is lost, as on any network; senders resend.
+  // A datagram that can't be sent is lost, as on any network; senders retransmit.
   boost::system::error_code ignored;
   socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toAsio(destination), 0, ignored);
 }
--- a/src/runtime/udp_endpoint.h
+++ b/src/runtime/udp_endpoint.h
@@ -12,46 +12,46 @@
 
 namespace lugfork {
 
-/** UDP socket on the event loop that sends and receives datagrams of the data path. */
+/** UDP socket of the data path, on the event loop. */
 class UdpEndpoint : public DatagramSender {
  public:
   using Handler = std::function<void(std::span<const std::uint8_t>, Endpoint)>;
 
-  /** Whether datagrams are read from the start, or wait in the socket until startReceiving(). */
+  /** Whether datagrams are read at once, or stay in the socket until receiving is started. */
   enum class Receiving { AtOnce, Later };
 
   /**
-   * Binds the address; port 0 takes any free port.
-   * @throws boost::system::system_error where the address can't be bound.
+   * Binds the address; port 0 selects a free port.
+   * @throws boost::system::system_error if the address can't be bound.
    */
   UdpEndpoint(boost::asio::io_context& io_context, Endpoint address, Handler handler,
               Receiving receiving = Receiving::AtOnce);
 
-  /** Begins to read datagrams; to be called once, where the socket was made to receive later. */
+  /** Starts to read datagrams; must be called once, for Receiving::Later only. */
   void startReceiving() { receiveNext(); }
 
   /**
-   * Called after each read of a batch, once its datagrams were handed over.
-   * @return true where it is to be called again soon, also where the socket is empty.
+   * Called after each batch, once its datagrams were handled.
+   * @return true to be called again in the next turn of the event loop, even if the socket is
+   * empty.
    */
   using TurnHandler = std::function<bool(const ReceiveTurn&)>;
 
-  /** @return true where more datagrams may wait behind the one that was handed over last. */
+  /** @return true if more datagrams may be pending after the last one handled. */
   using MoreExpected = std::function<bool()>;
 
   /**
-   * Begins to read datagrams of up to DatagramReader::kLargest bytes, several in a turn of the
-   * event loop; to be called once, where the socket was made to receive later. The first datagram
-   * after a pause is read alone, which costs a system call less, and others only where more are
-   * expected.
+   * Starts to read datagrams of up to DatagramReader::kLargest bytes, in one batch per turn of the
+   * event loop; must be called once, for Receiving::Later only. The first datagram after a pause is
+   * read alone, which saves a system call; a batch follows only if more datagrams are expected.
    */
   void startReceivingBatches(TurnHandler on_turn, MoreExpected more_expected,
                              DatagramReader::ReceiveMany receive_many = &::recvmmsg);
 
-  /** Hands over what waits now, before startReceivingBatches(). */
+  /** Handles the datagrams that are pending now, before startReceivingBatches(). */
   void receiveWaiting();
 
-  /** Sets what the system may keep for this socket, by about so many small datagrams. */
+  /** Sets the receive buffer of the socket to hold about this many small datagrams. */
   void holdDatagrams(std::size_t datagrams);
 
   void sendDatagram(Endpoint destination, const Datagram& datagram) override;
@@ -71,9 +71,9 @@
   boost::asio::ip::udp::socket socket_;
   Handler handler_;
   boost::asio::ip::udp::endpoint sender_;
-  /** Not cleared: memory that no datagram fills is never used. */
+  /** Not cleared: memory that no datagram fills is never touched. */
   std::unique_ptr<std::uint8_t[]> buffer_;
-  /** Null where datagrams are read one in a turn. */
+  /** Null if datagrams are read one per turn. */
   std::unique_ptr<DatagramReader> reader_;
   TurnHandler on_turn_;
   MoreExpected more_expected_;
--- a/src/runtime/udp_peer_socket.h
+++ b/src/runtime/udp_peer_socket.h
@@ -7,18 +7,18 @@
 
 namespace lugfork {
 
-/** Carries the messages of a ViewClient and a ViewProvider to other balancers (UDP). */
+/** Exchanges view and evidence messages with peers (UDP). */
 class UdpPeerSocket {
  public:
-  /** Gets a datagram that was refused: who sent it, its size [bytes], why. */
+  /** Called for each invalid datagram with its sender, size [bytes] and cause. */
   using RefusalCallback = std::function<void(Endpoint from, std::size_t bytes, CodecError cause)>;
 
-  /** @param address where this balancer asks and answers; all of a fleet use one port number. */
+  /** @param address local address; all balancers of a fleet use the same port number. */
   UdpPeerSocket(boost::asio::io_context& io_context, Endpoint address, const PeerKey& key);
 
-  /** Sets who takes messages; both must outlive this socket's event loop. */
+  /** Sets the receivers of view messages; both must outlive this socket's event loop. */
   void setReceivers(ViewClient* client, ViewProvider* provider);
-  /** Sets who takes messages about silent servers; without one they are passed over. */
+  /** Sets the receiver of evidence of silent backends; without one it is ignored. */
   void setEvidenceReceiver(EvidenceReceiver* receiver) { evidence_ = receiver; }
   void setRefusalCallback(RefusalCallback callback) { on_refused_ = std::move(callback); }
 
@@ -26,7 +26,7 @@
 
   std::uint16_t port() const { return socket_.localAddress().port; }
 
-  /** @return datagrams of another form, fleet or version. */
+  /** @return datagrams dropped because of their form, fleet key or version. */
   std::uint64_t refused() const { return refused_; }
 
  private:
--- a/src/runtime/zmq_reader.cc
+++ b/src/runtime/zmq_reader.cc
@@ -8,13 +8,13 @@
     : socket_(socket),
       handler_(std::move(handler)),
       descriptor_(io_context, socket.get(zmq::sockopt::fd)) {
-  // A new pipe signals nothing until its reader has once found it empty.
+  // The descriptor of a new socket signals nothing until the socket has been read empty once.
   boost::asio::post(io_context, [this] { receiveMessages(); });
   waitForMessages();
 }
 
 ZmqReader::~ZmqReader() {
-  // ZeroMQ owns the descriptor.
+  // The descriptor belongs to ZeroMQ and must not be closed here.
   descriptor_.release();
 }
 
@@ -30,7 +30,7 @@
 }
 
 void ZmqReader::receiveMessages() {
-  // The descriptor signals only changes, so everything that is there must be read.
+  // The descriptor is edge-triggered, so all pending messages must be read.
   while (true) {
     zmq::message_t first;
     if (!socket_.recv(first, zmq::recv_flags::dontwait)) {
--- a/src/runtime/zmq_reader.h
+++ b/src/runtime/zmq_reader.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Reads the messages of one ZeroMQ socket on the event loop. The socket must outlive it. */
+/** Reads the messages of a ZeroMQ socket on the event loop. The socket must outlive the reader. */
 class ZmqReader {
  public:
   using Frames = std::vector<zmq::message_t>;
--- a/tests/runtime/bad_input_test.cc
+++ b/tests/runtime/bad_input_test.cc
@@ -15,7 +15,7 @@
   return std::accumulate(drops.begin(), drops.end(), std::uint64_t{0});
 }
 
-TEST_CASE("a datagram that is not one of ours is counted, dropped and answered by nothing") {
+TEST_CASE("a malformed datagram is dropped and counted, and nothing is sent in response") {
   struct Row {
     const char* name;
     Bytes bytes;
@@ -45,7 +45,7 @@
   CHECK(fixture.node.configuration().version() == ConfigVersion(1));
 }
 
-TEST_CASE("an invalid or older document from the platform or a peer changes nothing in force") {
+TEST_CASE("an invalid or older platform document leaves the configuration in force unchanged") {
   struct Row {
     const char* name;
     std::string document;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("a delta from a peer that does not hold together changes nothing in force") {
+TEST_CASE("an inconsistent delta from a peer leaves the configuration in force unchanged") {
   NodeFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   const std::string document = fixture.node.configuration().documentInForce();
@@ -82,7 +82,7 @@
   };
   const Row rows[] = {
       {"body that is no resource", {here, next, {garbage}, {}}},
-      {"digest that does not fit", {here, next, {}, {}}},
+      {"digest that does not match", {here, next, {}, {}}},
       {"removal of a zone in use", {here, next, {}, {{ResourceKind::Zone, 1}}}},
       {"from a version never held", {{ConfigVersion(7), 1}, {ConfigVersion(8), 2}, {}, {}}},
       {"to an older version", {here, {ConfigVersion(0), 0}, {}, {}}},
--- a/tests/runtime/document_diff_test.cc
+++ b/tests/runtime/document_diff_test.cc
@@ -9,18 +9,18 @@
 namespace lugfork {
 namespace {
 
-TEST_CASE("the difference of two documents names each resource and field, and no secret") {
+TEST_CASE("a document diff lists each changed resource and field without secrets") {
   struct Row {
     const char* name;
     std::function<void(nlohmann::json&)> change;
     const char* description;
   };
   const Row rows[] = {
-      {"nothing but the version", [](auto& doc) { doc["version"] = 2; }, "no changes\n"},
+      {"version only", [](auto& doc) { doc["version"] = 2; }, "no changes\n"},
       {"drain", [](auto& doc) { doc["backends"][15]["draining"] = true; },
        "~ backends/ingest-1  draining: false -> true\n"},
       {"removal", [](auto& doc) { doc["backends"].erase(18); }, "- backends/ingest-4\n"},
-      {"renaming", [](auto& doc) { doc["backends"][18]["name"] = "ingest-9"; },
+      {"rename", [](auto& doc) { doc["backends"][18]["name"] = "ingest-9"; },
        "- backends/ingest-4\n+ backends/ingest-9\n"},
       {"two fields",
        [](auto& doc) {
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("the schema that is built in is the committed file") {
+TEST_CASE("the built-in schema equals the committed schema file") {
   std::ifstream file(std::string(LUGFORK_SOURCE_DIR) + "/schema/configuration.schema.json");
   CHECK(nlohmann::json::parse(kConfigurationSchema) == nlohmann::json::parse(file));
 }
--- a/tests/runtime/http_server_test.cc
+++ b/tests/runtime/http_server_test.cc
@@ -32,7 +32,7 @@
   }
 };
 
-TEST_CASE("health and resources before and after the first configuration") {
+TEST_CASE("health check and resources return 503 until the first configuration is in force") {
   ApiFixture fixture;
   CHECK(fixture.ask("GET", "/healthz").status == 503);
   CHECK(fixture.ask("GET", "/v1/backends").status == 503);
@@ -40,7 +40,7 @@
   CHECK(fixture.ask("GET", "/v1/backends").status == 200);
 }
 
-TEST_CASE("each request to the API is answered with its status, errors as problem documents") {
+TEST_CASE("API requests return the expected status, and errors are problem documents") {
   json invalid = radioDocument();
   invalid["backends"][1]["zone"] = "x";
   invalid["backends"][2]["service"] = "y";
@@ -56,13 +56,13 @@
       {"one resource", "GET", "/v1/backends/ingest-1", "", 200},
       {"nodes", "GET", "/v1/nodes", "", 200},
       {"schema", "GET", "/v1/schema", "", 200},
-      {"no resource of that name", "GET", "/v1/backends/nobody", "", 404},
+      {"missing resource", "GET", "/v1/backends/nobody", "", 404},
       {"empty name", "GET", "/v1/backends/", "", 404},
-      {"name that is no UTF-8", "GET", "/v1/backends/%ff", "", 404},
+      {"name that is not UTF-8", "GET", "/v1/backends/%ff", "", 404},
       {"deeply nested", "POST", "/v1/validate", std::string(100000, '['), 422},
       {"unknown resource", "GET", "/v1/nothing", "", 404},
       {"outside the API", "GET", "/", "", 404},
-      {"path that climbs", "GET", "/v1/../../etc/passwd", "", 404},
+      {"path traversal", "GET", "/v1/../../etc/passwd", "", 404},
       {"write to a resource", "PUT", "/v1/services", "{}", 405},
       {"delete of a resource", "DELETE", "/v1/services", "", 405},
       {"read of validate", "GET", "/v1/validate", "", 405},
@@ -90,7 +90,7 @@
   CHECK(problem["errors"][1]["path"] == "/backends/2/service");
 }
 
-TEST_CASE("a resource tells what is declared, what this node sees, and why") {
+TEST_CASE("a backend resource contains its declared spec, observed conditions and reasons") {
   ApiFixture fixture;
   json document = radioDocument();
   document["backends"][0]["draining"] = true;
@@ -127,7 +127,7 @@
   }
 }
 
-TEST_CASE("a condition keeps its time until it changes") {
+TEST_CASE("a condition keeps its start time while it does not change") {
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   const auto condition = [&] {
@@ -139,7 +139,7 @@
   CHECK(condition() == first);
 }
 
-TEST_CASE("a known entity tag is answered by 304 until the content changes") {
+TEST_CASE("a matching entity tag returns 304 until the content changes") {
   ApiFixture fixture;
   json document = radioDocument();
   fixture.node.onPlatformConfiguration(document.dump());
@@ -154,7 +154,7 @@
   CHECK(fixture.ask("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}}).status == 200);
 }
 
-TEST_CASE("watch parameters are checked") {
+TEST_CASE("invalid watch parameters are rejected") {
   struct Row {
     std::map<std::string, std::string> query;
     bool watches;
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a server with a token answers nobody without it, save for the open paths") {
+TEST_CASE("requests without the bearer token get 401, except for unauthenticated paths") {
   struct Row {
     const char* name;
     const char* path;
@@ -220,10 +220,10 @@
   CHECK(handled == expected_handled);
 }
 
-TEST_CASE("a handler that throws is answered by 500, and the server goes on") {
+TEST_CASE("an exception in the handler returns 500, and later requests are served") {
   const HttpServer server({0x7f000001, 0}, [](const HttpRequest& request) -> HttpResponse {
     if (request.path == "/broken") {
-      throw std::runtime_error("a fault of the handler");
+      throw std::runtime_error("handler failed");
     }
     return HttpResponse();
   });
@@ -235,7 +235,7 @@
   }
 }
 
-TEST_CASE("a server that is told to use HTTPS never serves plain HTTP") {
+TEST_CASE("an HTTPS server without a readable certificate does not start") {
   HttpServerSecurity security;
   security.certificate_file = "missing.pem";
   CHECK_THROWS_AS(HttpServer(
@@ -243,7 +243,7 @@
                   std::runtime_error);
 }
 
-TEST_CASE("no answer of the API holds a token secret") {
+TEST_CASE("API responses contain no token secrets") {
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   for (const char* target : {"/v1/configuration", "/v1/status", "/v1/backends", "/v1/nodes"}) {
@@ -251,7 +251,7 @@
   }
 }
 
-TEST_CASE("an address that is in use is refused with its name") {
+TEST_CASE("the error for an address in use contains the address") {
   const auto handler = [](const HttpRequest&) { return HttpResponse(); };
   const HttpServer first({0x7f000001, 0}, handler);
   const Endpoint taken = first.localAddress();
--- a/tests/runtime/json_log_line_test.cc
+++ b/tests/runtime/json_log_line_test.cc
@@ -15,7 +15,7 @@
   return SystemTime(milliseconds(unix_ms));
 }
 
-/** What a JSON document of the same fields dumps to. */
+/** @return the line as serialised from a JSON document of the same fields. */
 std::string dumped(const std::string& time, const std::string& level, const std::string& component,
                    const std::string& event, std::initializer_list<LogField> fields,
                    std::uint64_t left_out) {
@@ -36,7 +36,7 @@
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
 }
 
-TEST_CASE("a line is the same, byte for byte, as its JSON document", "[log]") {
+TEST_CASE("a log line equals its serialised JSON document byte for byte", "[log]") {
   const std::initializer_list<LogField> fields = {
       {"text", "plain"},
       {"empty", ""},
@@ -62,7 +62,7 @@
         dumped("2026-01-02T03:04:05.679Z", "error", "fl\"ow", "e\nv", {}, 17));
 }
 
-TEST_CASE("the timestamp follows a clock that goes on, jumps ahead and jumps back", "[log]") {
+TEST_CASE("the timestamp is correct when the clock advances, jumps ahead or jumps back", "[log]") {
   JsonLogLine line(kOrigin);
   const auto time_of = [&](std::int64_t unix_ms) {
     const auto parsed =
@@ -79,7 +79,7 @@
   CHECK(time_of(1709251200000) == "2024-03-01T00:00:00.000Z");
 }
 
-TEST_CASE("each level has its name", "[log]") {
+TEST_CASE("log levels are written by name", "[log]") {
   JsonLogLine line(kOrigin);
   const auto level_of = [&](LogLevel level) {
     const auto parsed = nlohmann::json::parse(line.build(atMilliseconds(0), {level, "c", "e", {}}));
--- a/tests/runtime/metric_page_test.cc
+++ b/tests/runtime/metric_page_test.cc
@@ -11,7 +11,7 @@
 namespace lugfork {
 namespace {
 
-TEST_CASE("the page is what prometheus-cpp makes of the same figures", "[metrics]") {
+TEST_CASE("the page equals the output of prometheus-cpp for the same metrics", "[metrics]") {
   prometheus::Registry registry;
   addCounter(registry, "packets_total", "Packets.", 0);
   addCounter(registry, "bytes_total", "Bytes.", 123456789012);
@@ -36,7 +36,7 @@
   CHECK(page.text() == prometheus::TextSerializer().Serialize(registry.Collect()));
 }
 
-TEST_CASE("a histogram counts a value on a bound below it, as prometheus-cpp does", "[metrics]") {
+TEST_CASE("a histogram bucket includes its upper bound, as in prometheus-cpp", "[metrics]") {
   const std::vector<double> bounds = {0.00001, 0.002, 0.5, 2};
   prometheus::Registry registry;
   auto& expected =
@@ -52,7 +52,7 @@
   CHECK(page.text() == prometheus::TextSerializer().Serialize(registry.Collect()));
 }
 
-TEST_CASE("values of one name stand together under one heading", "[metrics]") {
+TEST_CASE("values of one name are grouped under one header", "[metrics]") {
   MetricPage page;
   page.addCounter("dropped_total", "Dropped.", std::uint64_t{1}, {{"cause", "a"}});
   page.addCounter("received_total", "Received.", std::uint64_t{5});
--- a/tests/runtime/node_fixture.h
+++ b/tests/runtime/node_fixture.h
@@ -13,7 +13,7 @@
   return nlohmann::json::parse(file);
 }
 
-/** Keeps what a node sent. */
+/** Records the datagrams that a node sends. */
 class RecordedOutputs : public NodeOutputs {
  public:
   void sendDatagram(Endpoint, const Datagram& datagram) override { datagrams.push_back(datagram); }
@@ -25,7 +25,7 @@
   std::vector<Datagram> datagrams;
 };
 
-/** One node of the radio example without sockets; the platform lists no other balancer. */
+/** One node of the radio example without sockets and without peers. */
 struct NodeFixture {
   NodeFixture() { node.onPlatformMachines({}); }
 
--- a/tests/runtime/peer_security_test.cc
+++ b/tests/runtime/peer_security_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto kStep = std::chrono::milliseconds(20);
-/** Longest wait for something that must come. */
+/** Longest wait for an expected event. */
 constexpr auto kLimit = std::chrono::seconds(20);
 
 PeerSecuritySettings freshFleet() {
@@ -18,7 +18,7 @@
   return {pair.public_key, pair.secret_key, {}};
 }
 
-/** A receiving node, and a sending node with keys of its own. */
+/** A receiving and a sending peer, each with its own key settings. */
 class TwoPeers {
  public:
   TwoPeers(const PeerSecuritySettings& receiver, const PeerSecuritySettings& sender)
@@ -27,7 +27,7 @@
         sender_(io_context_, freePort(sender_address_, 2), sender,
                 [](Endpoint, const PeerMessage&) {}) {}
 
-  /** Sends and runs both until something came or was refused. */
+  /** Sends repeatedly until a message is received or a connection is rejected. */
   void run() {
     const auto limit = std::chrono::steady_clock::now() + kLimit;
     while (received == 0 && refused() == 0 && std::chrono::steady_clock::now() < limit) {
@@ -41,7 +41,7 @@
   int received = 0;
 
  private:
-  /** Takes a loopback address of this process alone, so that runs do not collide. */
+  /** Selects a loopback address by process id, so that concurrent test runs do not conflict. */
   static Endpoint freePort(Endpoint& address, std::uint16_t offset) {
     const auto process = static_cast<std::uint32_t>(::getpid());
     const std::uint32_t host = 0x7f010000 + process % 65000 + 1;
@@ -56,7 +56,7 @@
   PeerTransport sender_;
 };
 
-TEST_CASE("only a peer with a key of the fleet gets its messages through") {
+TEST_CASE("only messages of peers with the keys of the fleet are received") {
   const PeerSecuritySettings fleet = freshFleet();
   const PeerSecuritySettings stranger = freshFleet();
   struct Row {
@@ -80,7 +80,7 @@
   }
 }
 
-TEST_CASE("a peer that knows the fleet's public key alone is not let in unless it is listed") {
+TEST_CASE("a peer with its own key pair is rejected unless its public key is listed") {
   const PeerSecuritySettings fleet = freshFleet();
   const PeerKeyPair guest = makePeerKeyPair();
   struct Row {
@@ -116,7 +116,7 @@
   }
 }
 
-TEST_CASE("wrong key settings are named") {
+TEST_CASE("the error for invalid key settings contains the setting") {
   const PeerSecuritySettings fleet = freshFleet();
   struct Row {
     const char* name;
--- a/tests/runtime/simulation_page_test.cc
+++ b/tests/runtime/simulation_page_test.cc
@@ -8,7 +8,7 @@
 constexpr const char* kResult =
     R"({"flows":344,"broken_planned":3,"broken_unplanned":2,"imbalance_p50":1.5,"imbalance_p99":3})";
 
-TEST_CASE("a page shows every label and count, and escapes what it is given") {
+TEST_CASE("the page contains all labels and counts, with HTML escaped") {
   const auto token = parseSimulationResult("token <b>", kResult);
   const auto table = parseSimulationResult("maglev-table", kResult);
   REQUIRE(token);
@@ -20,7 +20,7 @@
   CHECK(page.find("<b>") == std::string::npos);
 }
 
-TEST_CASE("a result without the drawn numbers is refused by the missing one") {
+TEST_CASE("the error for an incomplete result contains the missing field") {
   struct Row {
     const char* text;
     const char* error_part;
--- a/tests/runtime/udp_endpoint_test.cc
+++ b/tests/runtime/udp_endpoint_test.cc
@@ -9,7 +9,7 @@
 constexpr std::uint32_t kLoopback = 0x7f000001;
 const Endpoint kAnyPort{kLoopback, 0};
 
-/** Answers as a system that has no call for several datagrams. */
+/** Fails like recvmmsg() on a system that does not support it. */
 int receiveNone(int, mmsghdr*, unsigned, int, timespec*) {
   errno = ENOSYS;
   return -1;
@@ -19,7 +19,7 @@
   return multiple ? &::recvmmsg : &receiveNone;
 }
 
-/** An endpoint that reads batches, and one that sends to it. */
+/** An endpoint that reads in batches, and one that sends to it. */
 struct BatchHarness {
   explicit BatchHarness(bool reads_multiple) : multiple(reads_multiple) {}
 
@@ -42,7 +42,7 @@
         [this] { return more_expected; }, callFor(multiple));
   }
 
-  /** Handles what is there, until that many datagrams came. */
+  /** Runs the event loop until that many datagrams were received in total. */
   void receive(std::size_t datagrams) {
     while (numbers.size() < datagrams && io_context.run_one_for(std::chrono::seconds(5)) > 0) {
     }
@@ -76,7 +76,7 @@
   return numbers;
 }
 
-TEST_CASE("batches bring all datagrams in their order", "[udp_endpoint]") {
+TEST_CASE("batches deliver all datagrams in order", "[udp_endpoint]") {
   const bool multiple = GENERATE(true, false);
   BatchHarness harness(multiple);
   harness.send(100);
@@ -89,7 +89,7 @@
   CHECK_FALSE(harness.turns[0].is_empty);
   CHECK(harness.turns[3].datagrams == 4);
   CHECK(harness.turns[3].is_empty);
-  SECTION("and those that come later") {
+  SECTION("datagrams sent after the first batches are delivered too") {
     harness.send(3);
     harness.receive(103);
     harness.send(40);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("a whole batch does not mean an empty socket", "[udp_endpoint]") {
+TEST_CASE("after a full batch the socket is read again", "[udp_endpoint]") {
   const bool multiple = GENERATE(true, false);
   BatchHarness harness(multiple);
   harness.send(DatagramReader::kMost);
@@ -110,7 +110,8 @@
   CHECK(harness.turns[1].is_empty);
 }
 
-TEST_CASE("after a pause a datagram is read alone, where no more are expected", "[udp_endpoint]") {
+TEST_CASE("the first datagram after a pause is read alone unless more are expected",
+          "[udp_endpoint]") {
   BatchHarness harness(true);
   harness.start();
   harness.receive(0);
@@ -132,7 +133,8 @@
   CHECK(harness.turns[5].is_certain);
 }
 
-TEST_CASE("who asks for it gets turns while the socket is empty", "[udp_endpoint]") {
+TEST_CASE("the turn handler is called again on request while the socket is empty",
+          "[udp_endpoint]") {
   BatchHarness harness(true);
   harness.further_turns = 3;
   harness.start();
@@ -140,7 +142,7 @@
   CHECK(harness.turns.size() == 4);
 }
 
-TEST_CASE("a datagram that is too long comes cut", "[udp_endpoint]") {
+TEST_CASE("a datagram longer than the buffer is truncated", "[udp_endpoint]") {
   const bool multiple = GENERATE(true, false);
   BatchHarness harness(multiple);
   harness.send(1, 5000);
@@ -150,7 +152,7 @@
   CHECK(harness.sizes == std::vector<std::size_t>{DatagramReader::kLargest, 4});
 }
 
-TEST_CASE("a system without a call for several datagrams is asked for it once", "[udp_endpoint]") {
+TEST_CASE("the reader falls back to single reads if recvmmsg is not supported", "[udp_endpoint]") {
   const DatagramReader::Handler ignore = [](std::span<const std::uint8_t>, Endpoint) {};
   DatagramReader several;
   CHECK(several.read(-1, ignore).is_empty);
@@ -160,7 +162,7 @@
   CHECK(single.readsSingly());
 }
 
-TEST_CASE("the socket holds no more than it was told", "[udp_endpoint]") {
+TEST_CASE("the receive buffer holds about the requested number of datagrams", "[udp_endpoint]") {
   BatchHarness harness(true);
   harness.receiver.holdDatagrams(256);
   harness.send(4000);
--- a/tests/runtime/udp_peer_socket_test.cc
+++ b/tests/runtime/udp_peer_socket_test.cc
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kAsked = 0x7f000002;
 const PeerKey kKey = derivePeerKey(std::array<std::uint8_t, 1>{7});
 
-/** A balancer with a view on a loopback address. */
+/** A balancer on a loopback address, with a view. */
 struct PeerNode : ViewOwner {
   PeerNode(boost::asio::io_context& io_context, Endpoint address, const PeerKey& key,
            Scheduler& scheduler)
@@ -32,7 +32,7 @@
   const ItemView& view() const override { return content; }
   ViewStatus viewStatus() const override { return {content.position(), 30, serves}; }
 
-  /** Adds items that can't be compressed. */
+  /** Adds an item of incompressible data. */
   void fill(std::size_t bytes) {
     std::string noise(bytes, ' ');
     for (char& byte : noise) {
@@ -52,7 +52,7 @@
   ViewProvider provider;
 };
 
-/** Two balancers that ask each other on one port number of two loopback addresses. */
+/** Balancers on the same port number of different loopback addresses. */
 struct PeerHarness {
   std::unique_ptr<PeerNode> make(std::uint32_t address, const PeerKey& key = kKey) {
     return std::make_unique<PeerNode>(io_context, Endpoint{address, port}, key, scheduler);
@@ -73,13 +73,14 @@
   AsioScheduler scheduler{io_context};
   UdpEndpoint port_holder{
       io_context, {0x7f000001, 0}, [](std::span<const std::uint8_t>, Endpoint) {}};
-  /** The port is free at other loopback addresses. */
+  /** Free on the other loopback addresses too. */
   const std::uint16_t port = static_cast<std::uint16_t>(port_holder.localAddress().port);
   std::unique_ptr<PeerNode> asking = make(kAsking);
   std::optional<Result<PeerView, PeerRefusal>> answer;
 };
 
-TEST_CASE("a balancer reads another's view and what it knows of others", "[udp_peer_socket]") {
+TEST_CASE("a balancer reads the view and the known peers of another balancer",
+          "[udp_peer_socket]") {
   PeerHarness harness;
   const auto asked = harness.make(kAsked);
   asked->fill(100);
@@ -92,12 +93,12 @@
   CHECK(harness.answer->value().changes.size() == 1);
   const std::vector<KnownPeer>& peers = harness.answer->value().peers;
   CHECK(std::count(peers.begin(), peers.end(), KnownPeer(Endpoint{5, 1})) == 1);
-  // Who asks is known by its control address.
+  // The requester is recorded under its control address.
   const auto known = asked->directory.recent();
   CHECK(std::count(known.begin(), known.end(), Endpoint{kAsking, 1}) == 1);
 }
 
-TEST_CASE("a view of many parts comes whole", "[udp_peer_socket]") {
+TEST_CASE("a view of many parts is received completely", "[udp_peer_socket]") {
   PeerHarness harness;
   const auto asked = harness.make(kAsked);
   constexpr std::size_t kBytes = std::size_t{100} * kPartBytes;
@@ -108,7 +109,7 @@
   CHECK(harness.answer->value().changes[0].item.value.size() == kBytes);
 }
 
-TEST_CASE("a balancer without a view answers as soon as it has one", "[udp_peer_socket]") {
+TEST_CASE("a balancer without a view answers once its view is ready", "[udp_peer_socket]") {
   PeerHarness harness;
   const auto asked = harness.make(kAsked);
   asked->serves = false;
@@ -122,22 +123,22 @@
   CHECK(harness.answer->value().status.position == 12);
 }
 
-TEST_CASE("a balancer that never gets a view is told apart from a silent one",
+TEST_CASE("the refusal cause distinguishes a balancer without a view from a silent one",
           "[udp_peer_socket]") {
   PeerHarness harness;
   std::unique_ptr<PeerNode> asked;
   auto cause = SourceError::NoAnswer;
   Revision after = 0;
-  SECTION("nobody is there") {}
-  SECTION("another fleet's key") {
+  SECTION("no balancer at the address") {}
+  SECTION("balancer with the key of another fleet") {
     asked = harness.make(kAsked, derivePeerKey(std::array<std::uint8_t, 1>{8}));
   }
-  SECTION("no view yet") {
+  SECTION("full view requested from a balancer without a view") {
     asked = harness.make(kAsked);
     asked->serves = false;
     cause = SourceError::Unavailable;
   }
-  SECTION("no view for changes") {
+  SECTION("changes requested from a balancer without a view") {
     asked = harness.make(kAsked);
     asked->serves = false;
     after = 5;
@@ -148,7 +149,7 @@
   CHECK(harness.answer->error().cause == cause);
 }
 
-TEST_CASE("datagrams of another form are counted and told", "[udp_peer_socket]") {
+TEST_CASE("invalid datagrams are counted and reported to the callback", "[udp_peer_socket]") {
   PeerHarness harness;
   const auto asked = harness.make(kAsked);
   std::size_t told = 0;
