--- a/src/runtime/metrics.cc
+++ b/src/runtime/metrics.cc
@@ -76,7 +76,7 @@
   addFlowCounters(registry, node.flowCounters());
   addPeerCounters(registry, peers.counters());
   addCounter(registry, "lugfork_peers_refused_total", "Peer connections refused by their keys.",
-             peers.refusedPeers());
+             peers.rejectedPeers());
   addCluster(registry, node);
   addGauge(registry, "lugfork_configuration_version", "Version in force.",
            static_cast<double>(node.configuration().version().value()));
--- a/src/runtime/node_daemon.cc
+++ b/src/runtime/node_daemon.cc
@@ -51,7 +51,7 @@
       housekeeping_(io_context_, kHousekeepingInterval,
                     [this] {
                       api_.observeConditions();
-                      reportRefusedPeers();
+                      logRejectedPeers();
                     }),
       signals_(io_context_, SIGTERM, SIGINT),
       leave_timer_(settings_.leave) {
@@ -156,12 +156,12 @@
   }
 }
 
-void NodeDaemon::reportRefusedPeers() {
-  const std::uint64_t refused = peers_.refusedPeers();
-  if (refused != reported_refused_peers_) {
+void NodeDaemon::logRejectedPeers() {
+  const std::uint64_t rejected = peers_.rejectedPeers();
+  if (rejected != logged_rejected_peers_) {
     log_.write(LogLevel::Warn, "peers", "peers_refused",
-               {{"connections", refused - reported_refused_peers_}, {"total", refused}});
-    reported_refused_peers_ = refused;
+               {{"connections", rejected - logged_rejected_peers_}, {"total", rejected}});
+    logged_rejected_peers_ = rejected;
   }
 }
 
--- a/src/runtime/node_daemon.h
+++ b/src/runtime/node_daemon.h
@@ -60,7 +60,7 @@
    * @return true if such a version is in force.
    */
   bool waitForVersionAbove(const WatchRequest& watch);
-  void reportRefusedPeers();
+  void logRejectedPeers();
   HttpServerSecurity apiSecurity() const;
 
   const NodeDaemonSettings settings_;
@@ -81,7 +81,7 @@
   std::set<std::string> reads_in_progress_;
   std::set<BackendId> probes_in_progress_;
   std::size_t next_platform_ = 0;
-  std::uint64_t reported_refused_peers_ = 0;
+  std::uint64_t logged_rejected_peers_ = 0;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> watches_ = 0;
   LeaveTimer leave_timer_;
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -138,7 +138,7 @@
   }
   auto socket = std::make_unique<UdpPeerSocket>(io_context_, settings_.peer_address,
                                                 derivePeerKey(settings_.node.token_key));
-  socket->setRefusalCallback([this](Endpoint from, std::size_t bytes, CodecError cause) {
+  socket->setInvalidDatagramCallback([this](Endpoint from, std::size_t bytes, CodecError cause) {
     log_.write(LogLevel::Warn, "input", "peer_datagram_refused",
                {{"from", toString(from)},
                 {"bytes", static_cast<std::uint64_t>(bytes)},
--- a/src/runtime/packet_metrics.cc
+++ b/src/runtime/packet_metrics.cc
@@ -182,7 +182,7 @@
 
 void addPeerSocket(MetricPage& page, const UdpPeerSocket& socket, const ViewClient& client) {
   addCounter(page, "lugfork_peer_datagrams_refused_total",
-             "Datagrams of another form, fleet or version.", socket.refused());
+             "Datagrams of another form, fleet or version.", socket.invalidDatagrams());
   addCounter(page, "lugfork_peer_bodies_malformed_total",
              "Views of other balancers that could not be read.", client.malformedBodies());
 }
--- a/src/runtime/peer_status_table.h
+++ b/src/runtime/peer_status_table.h
@@ -13,7 +13,7 @@
 struct PeerStatus {
   /** Version in force at the peer. */
   ConfigVersion version;
-  SystemTime heard_at;
+  SystemTime received_at;
 };
 
 /** Version in force at each peer that has reported it, by peer name. */
@@ -23,7 +23,7 @@
 
   /** Records the status that a message reports of its sender. */
   void onMessage(const PeerMessage& message) {
-    std::visit([this](const auto& body) { note(body); }, message);
+    std::visit([this](const auto& body) { record(body); }, message);
   }
 
   /** @return the last reported status of a peer, or nullptr. */
@@ -34,7 +34,7 @@
 
  private:
   template <typename Message>
-  void note(const Message& message) {
+  void record(const Message& message) {
     if constexpr (requires { message.gossip.sender; }) {
       peers_[message.gossip.sender.name] = {message.gossip.configuration.version,
                                             time_source_.systemTime()};
--- a/src/runtime/peer_transport.cc
+++ b/src/runtime/peer_transport.cc
@@ -30,7 +30,8 @@
   receiver_.set(zmq::sockopt::router_handover, true);
   receiver_.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(kMaxPeerMessageBytes));
   if (security_.enabled()) {
-    gate_ = std::make_unique<PeerGate>(io_context, context_, receiver_, security_);
+    authenticator_ =
+        std::make_unique<PeerAuthenticator>(io_context, context_, receiver_, security_);
   }
   try {
     receiver_.bind(zmqAddress(address));
@@ -63,7 +64,7 @@
   socket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaxMilliseconds);
   socket.set(zmq::sockopt::routing_id, toString(address_));
   if (security_.enabled()) {
-    PeerGate::secureSender(socket, security_);
+    PeerAuthenticator::secureSender(socket, security_);
   }
   socket.connect(zmqAddress(peer));
   return senders_.emplace(peer, std::move(socket)).first->second;
--- a/src/runtime/peer_transport.h
+++ b/src/runtime/peer_transport.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <zmq.hpp>
 
-#include "runtime/peer_gate.h"
+#include "runtime/peer_authenticator.h"
 #include "wire/peer_message.h"
 
 namespace lugfork {
@@ -42,7 +42,9 @@
   const PeerTransportCounters& counters() const { return counters_; }
 
   /** @return connection attempts rejected because of their keys since the start. */
-  std::uint64_t refusedPeers() const { return gate_ == nullptr ? 0 : gate_->refused(); }
+  std::uint64_t rejectedPeers() const {
+    return authenticator_ == nullptr ? 0 : authenticator_->rejected();
+  }
 
  private:
   zmq::socket_t& socketOf(Endpoint peer);
@@ -53,7 +55,7 @@
   Handler handler_;
   zmq::context_t context_;
   zmq::socket_t receiver_;
-  std::unique_ptr<PeerGate> gate_;
+  std::unique_ptr<PeerAuthenticator> authenticator_;
   std::unique_ptr<ZmqReader> reader_;
   std::unordered_map<Endpoint, zmq::socket_t> senders_;
   PeerTransportCounters counters_;
--- a/src/runtime/resource_views.cc
+++ b/src/runtime/resource_views.cc
@@ -185,7 +185,7 @@
   json view = {{"self", false}, {"state", member == nullptr ? "unknown" : toString(member->state)}};
   view["listed_as"] = machine.leaving ? "leaving" : "live";
   view["version_in_force"] = status == nullptr ? json() : json(status->version.value());
-  view["heard_at_ms"] = status == nullptr ? json() : json(toUnixMilliseconds(status->heard_at));
+  view["heard_at_ms"] = status == nullptr ? json() : json(toUnixMilliseconds(status->received_at));
   const std::string reason = status == nullptr ? "never_heard" : current ? "reported" : "behind";
   view["conditions"] = json::array({condition(key, "InForce", current, reason)});
   return {{"metadata", {{"kind", "Node"}, {"name", machine.name}}},
--- a/src/runtime/udp_peer_socket.cc
+++ b/src/runtime/udp_peer_socket.cc
@@ -25,9 +25,9 @@
     dispatchEvidence(message.value(), from);
     return;
   }
-  ++refused_;
-  if (on_refused_) {
-    on_refused_(from, bytes.size(), message.error());
+  ++invalid_datagrams_;
+  if (on_invalid_datagram_) {
+    on_invalid_datagram_(from, bytes.size(), message.error());
   }
 }
 
--- a/src/runtime/udp_peer_socket.h
+++ b/src/runtime/udp_peer_socket.h
@@ -11,7 +11,8 @@
 class UdpPeerSocket {
  public:
   /** Called for each invalid datagram with its sender, size [bytes] and cause. */
-  using RefusalCallback = std::function<void(Endpoint from, std::size_t bytes, CodecError cause)>;
+  using InvalidDatagramCallback =
+      std::function<void(Endpoint from, std::size_t bytes, CodecError cause)>;
 
   /** @param address local address; all balancers of a fleet use the same port number. */
   UdpPeerSocket(boost::asio::io_context& io_context, Endpoint address, const PeerKey& key);
@@ -20,14 +21,16 @@
   void setReceivers(ViewClient* client, ViewProvider* provider);
   /** Sets the receiver of evidence of silent backends; without one it is ignored. */
   void setEvidenceReceiver(EvidenceReceiver* receiver) { evidence_ = receiver; }
-  void setRefusalCallback(RefusalCallback callback) { on_refused_ = std::move(callback); }
+  void setInvalidDatagramCallback(InvalidDatagramCallback callback) {
+    on_invalid_datagram_ = std::move(callback);
+  }
 
   void send(Endpoint to, const ViewMessage& message);
 
   std::uint16_t port() const { return socket_.localAddress().port; }
 
   /** @return datagrams dropped because of their form, fleet key or version. */
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t invalidDatagrams() const { return invalid_datagrams_; }
 
  private:
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from);
@@ -38,8 +41,8 @@
   ViewClient* client_ = nullptr;
   ViewProvider* provider_ = nullptr;
   EvidenceReceiver* evidence_ = nullptr;
-  RefusalCallback on_refused_;
-  std::uint64_t refused_ = 0;
+  InvalidDatagramCallback on_invalid_datagram_;
+  std::uint64_t invalid_datagrams_ = 0;
   UdpEndpoint socket_;
 };
 
--- a/tests/runtime/peer_security_test.cc
+++ b/tests/runtime/peer_security_test.cc
@@ -11,9 +11,9 @@
 
 constexpr auto kStep = std::chrono::milliseconds(20);
 /** Longest wait for an expected event. */
-constexpr auto kLimit = std::chrono::seconds(20);
+constexpr auto kTimeout = std::chrono::seconds(20);
 
-PeerSecuritySettings freshFleet() {
+PeerSecuritySettings makeFleetKeys() {
   const PeerKeyPair pair = makePeerKeyPair();
   return {pair.public_key, pair.secret_key, {}};
 }
@@ -29,14 +29,14 @@
 
   /** Sends repeatedly until a message is received or a connection is rejected. */
   void run() {
-    const auto limit = std::chrono::steady_clock::now() + kLimit;
-    while (received == 0 && refused() == 0 && std::chrono::steady_clock::now() < limit) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (received == 0 && rejected() == 0 && std::chrono::steady_clock::now() < deadline) {
       sender_.send(receiver_address_, MembersRequest{});
       io_context_.run_for(kStep);
     }
   }
 
-  std::uint64_t refused() const { return receiver_.refusedPeers(); }
+  std::uint64_t rejected() const { return receiver_.rejectedPeers(); }
 
   int received = 0;
 
@@ -57,8 +57,8 @@
 };
 
 TEST_CASE("only messages of peers with the keys of the fleet are received") {
-  const PeerSecuritySettings fleet = freshFleet();
-  const PeerSecuritySettings stranger = freshFleet();
+  const PeerSecuritySettings fleet = makeFleetKeys();
+  const PeerSecuritySettings stranger = makeFleetKeys();
   struct Row {
     const char* name;
     PeerSecuritySettings receiver;
@@ -76,12 +76,12 @@
     TwoPeers peers(row.receiver, row.sender);
     peers.run();
     CHECK((peers.received > 0) == row.accepted);
-    CHECK((peers.refused() > 0) == !row.accepted);
+    CHECK((peers.rejected() > 0) == !row.accepted);
   }
 }
 
 TEST_CASE("a peer with its own key pair is rejected unless its public key is listed") {
-  const PeerSecuritySettings fleet = freshFleet();
+  const PeerSecuritySettings fleet = makeFleetKeys();
   const PeerKeyPair guest = makePeerKeyPair();
   struct Row {
     const char* name;
@@ -96,7 +96,7 @@
     zmq::socket_t listener(context, zmq::socket_type::router);
     PeerSecuritySettings settings = fleet;
     settings.allowed_keys = row.allowed;
-    const PeerGate gate(io_context, context, listener, settings);
+    const PeerAuthenticator authenticator(io_context, context, listener, settings);
     listener.bind("tcp://127.0.0.1:*");
     int received = 0;
     const ZmqReader reader(io_context, listener, [&](const ZmqReader::Frames&) { ++received; });
@@ -107,17 +107,18 @@
     client.set(zmq::sockopt::curve_secretkey, guest.secret_key);
     client.connect(listener.get(zmq::sockopt::last_endpoint));
     client.send(zmq::str_buffer("hello"), zmq::send_flags::dontwait);
-    const auto limit = std::chrono::steady_clock::now() + kLimit;
-    while (received == 0 && gate.refused() == 0 && std::chrono::steady_clock::now() < limit) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (received == 0 && authenticator.rejected() == 0 &&
+           std::chrono::steady_clock::now() < deadline) {
       io_context.run_for(kStep);
     }
     CHECK((received > 0) == row.accepted);
-    CHECK((gate.refused() > 0) == !row.accepted);
+    CHECK((authenticator.rejected() > 0) == !row.accepted);
   }
 }
 
 TEST_CASE("the error for invalid key settings contains the setting") {
-  const PeerSecuritySettings fleet = freshFleet();
+  const PeerSecuritySettings fleet = makeFleetKeys();
   struct Row {
     const char* name;
     PeerSecuritySettings settings;
@@ -129,7 +130,7 @@
       {"public key alone", {fleet.public_key, "", {}}, "peer-secret-key"},
       {"secret key alone", {"", fleet.secret_key, {}}, "peer-public-key"},
       {"short secret", {fleet.public_key, "abc", {}}, "peer-secret-key"},
-      {"foreign public key", {freshFleet().public_key, fleet.secret_key, {}}, "peer-public-key"},
+      {"foreign public key", {makeFleetKeys().public_key, fleet.secret_key, {}}, "peer-public-key"},
       {"wrong listed key", {fleet.public_key, fleet.secret_key, {"abc"}}, "peer-allowed-key"},
       {"listed key without a pair", {"", "", {fleet.public_key}}, "peer-allowed-key"},
   };
--- a/tests/runtime/udp_peer_socket_test.cc
+++ b/tests/runtime/udp_peer_socket_test.cc
@@ -7,8 +7,8 @@
 namespace lugfork {
 namespace {
 
-constexpr std::uint32_t kAsking = 0x7f000003;
-constexpr std::uint32_t kAsked = 0x7f000002;
+constexpr std::uint32_t kRequester = 0x7f000003;
+constexpr std::uint32_t kResponder = 0x7f000002;
 const PeerKey kKey = derivePeerKey(std::array<std::uint8_t, 1>{7});
 
 /** A balancer on a loopback address, with a view. */
@@ -46,7 +46,7 @@
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   ItemView content;
   bool serves = true;
-  PeerDirectory directory{{}, Endpoint{kAsked, 1}, {}, time, *random};
+  PeerDirectory directory{{}, Endpoint{kResponder, 1}, {}, time, *random};
   UdpPeerSocket socket;
   ViewClient client;
   ViewProvider provider;
@@ -59,11 +59,11 @@
   }
 
   void ask(Revision after) {
-    asking->client.readView({kAsked, 1}, after, milliseconds(500),
-                            [this](Result<PeerView, PeerRefusal> result) {
-                              answer = std::move(result);
-                              io_context.stop();
-                            });
+    requester->client.readView({kResponder, 1}, after, milliseconds(500),
+                               [this](Result<PeerView, PeerRefusal> result) {
+                                 answer = std::move(result);
+                                 io_context.stop();
+                               });
     io_context.restart();
     io_context.run_for(std::chrono::seconds(20));
     REQUIRE(answer.has_value());
@@ -75,16 +75,16 @@
       io_context, {0x7f000001, 0}, [](std::span<const std::uint8_t>, Endpoint) {}};
   /** Free on the other loopback addresses too. */
   const std::uint16_t port = static_cast<std::uint16_t>(port_holder.localAddress().port);
-  std::unique_ptr<PeerNode> asking = make(kAsking);
+  std::unique_ptr<PeerNode> requester = make(kRequester);
   std::optional<Result<PeerView, PeerRefusal>> answer;
 };
 
 TEST_CASE("a balancer reads the view and the known peers of another balancer",
           "[udp_peer_socket]") {
   PeerHarness harness;
-  const auto asked = harness.make(kAsked);
-  asked->fill(100);
-  asked->directory.onAlive({5, 1});
+  const auto responder = harness.make(kResponder);
+  responder->fill(100);
+  responder->directory.onAlive({5, 1});
   harness.ask(0);
   REQUIRE(*harness.answer);
   CHECK(harness.answer->value().status.position == 12);
@@ -94,15 +94,15 @@
   const std::vector<KnownPeer>& peers = harness.answer->value().peers;
   CHECK(std::count(peers.begin(), peers.end(), KnownPeer(Endpoint{5, 1})) == 1);
   // The requester is recorded under its control address.
-  const auto known = asked->directory.recent();
-  CHECK(std::count(known.begin(), known.end(), Endpoint{kAsking, 1}) == 1);
+  const auto known = responder->directory.recent();
+  CHECK(std::count(known.begin(), known.end(), Endpoint{kRequester, 1}) == 1);
 }
 
 TEST_CASE("a view of many parts is received completely", "[udp_peer_socket]") {
   PeerHarness harness;
-  const auto asked = harness.make(kAsked);
+  const auto responder = harness.make(kResponder);
   constexpr std::size_t kBytes = std::size_t{100} * kPartBytes;
-  asked->fill(kBytes);
+  responder->fill(kBytes);
   harness.ask(0);
   REQUIRE(*harness.answer);
   REQUIRE(harness.answer->value().changes.size() == 1);
@@ -111,12 +111,12 @@
 
 TEST_CASE("a balancer without a view answers once its view is ready", "[udp_peer_socket]") {
   PeerHarness harness;
-  const auto asked = harness.make(kAsked);
-  asked->serves = false;
+  const auto responder = harness.make(kResponder);
+  responder->serves = false;
   harness.scheduler.callAfter(milliseconds(100), [&] {
-    asked->fill(100);
-    asked->serves = true;
-    asked->provider.onViewReady();
+    responder->fill(100);
+    responder->serves = true;
+    responder->provider.onViewReady();
   });
   harness.ask(0);
   REQUIRE(*harness.answer);
@@ -126,21 +126,21 @@
 TEST_CASE("the refusal cause distinguishes a balancer without a view from a silent one",
           "[udp_peer_socket]") {
   PeerHarness harness;
-  std::unique_ptr<PeerNode> asked;
+  std::unique_ptr<PeerNode> responder;
   auto cause = SourceError::NoAnswer;
   Revision after = 0;
   SECTION("no balancer at the address") {}
   SECTION("balancer with the key of another fleet") {
-    asked = harness.make(kAsked, derivePeerKey(std::array<std::uint8_t, 1>{8}));
+    responder = harness.make(kResponder, derivePeerKey(std::array<std::uint8_t, 1>{8}));
   }
   SECTION("full view requested from a balancer without a view") {
-    asked = harness.make(kAsked);
-    asked->serves = false;
+    responder = harness.make(kResponder);
+    responder->serves = false;
     cause = SourceError::Unavailable;
   }
   SECTION("changes requested from a balancer without a view") {
-    asked = harness.make(kAsked);
-    asked->serves = false;
+    responder = harness.make(kResponder);
+    responder->serves = false;
     after = 5;
     cause = SourceError::Unavailable;
   }
@@ -151,16 +151,16 @@
 
 TEST_CASE("invalid datagrams are counted and reported to the callback", "[udp_peer_socket]") {
   PeerHarness harness;
-  const auto asked = harness.make(kAsked);
-  std::size_t told = 0;
-  asked->socket.setRefusalCallback([&](Endpoint, std::size_t bytes, CodecError) {
-    told = bytes;
+  const auto responder = harness.make(kResponder);
+  std::size_t reported_bytes = 0;
+  responder->socket.setInvalidDatagramCallback([&](Endpoint, std::size_t bytes, CodecError) {
+    reported_bytes = bytes;
     harness.io_context.stop();
   });
-  harness.port_holder.sendBytes({kAsked, harness.port}, Bytes{1, 2, 3});
+  harness.port_holder.sendBytes({kResponder, harness.port}, Bytes{1, 2, 3});
   harness.io_context.run_for(std::chrono::seconds(20));
-  CHECK(told == 3);
-  CHECK(asked->socket.refused() == 1);
+  CHECK(reported_bytes == 3);
+  CHECK(responder->socket.invalidDatagrams() == 1);
 }
 
 }  // namespace
