--- a/src/runtime/datagram_reader.h
+++ b/src/runtime/datagram_reader.h
@@ -18,10 +18,10 @@
  public:
   /** Limit of one batch: about 20 ms of packets on a node with little CPU, which bounds the delay
    * of its timers. */
-  static constexpr std::size_t kMost = 32;
+  static constexpr std::size_t kMaxBatchDatagrams = 32;
   /** Longest datagram that is read completely; a longer one is truncated to this length, which
    * exceeds the limit of a packet. [bytes] */
-  static constexpr std::size_t kLargest = 2048;
+  static constexpr std::size_t kBufferBytes = 2048;
 
   using Handler = std::function<void(std::span<const std::uint8_t>, Endpoint)>;
 
@@ -39,7 +39,7 @@
    * support it, and each datagram is read by a call of its own. */
   explicit DatagramReader(ReceiveMany receive_many = &::recvmmsg);
 
-  /** Passes up to kMost pending datagrams of a socket to the handler. Never blocks. */
+  /** Passes up to kMaxBatchDatagrams pending datagrams of a socket to the handler. Never blocks. */
   Batch read(int socket, const Handler& handler);
 
   /** @return true if the system does not support batches, and datagrams are read one by one. */
@@ -51,16 +51,16 @@
   Batch readSingly(int socket, const Handler& handler);
 
   std::span<std::uint8_t> bufferOf(std::size_t index) {
-    return {buffers_.get() + index * kLargest, kLargest};
+    return {buffers_.get() + index * kBufferBytes, kBufferBytes};
   }
 
   /** Null if the system does not support the call. */
   ReceiveMany receive_many_;
   /** Not cleared: memory that no datagram fills is never touched. */
   const std::unique_ptr<std::uint8_t[]> buffers_;
-  std::array<mmsghdr, kMost> heads_{};
-  std::array<iovec, kMost> places_{};
-  std::array<sockaddr_in, kMost> senders_{};
+  std::array<mmsghdr, kMaxBatchDatagrams> message_headers_{};
+  std::array<iovec, kMaxBatchDatagrams> io_vectors_{};
+  std::array<sockaddr_in, kMaxBatchDatagrams> senders_{};
 };
 
 }  // namespace lugfork
--- a/src/runtime/packet_daemon.cc
+++ b/src/runtime/packet_daemon.cc
@@ -24,24 +24,25 @@
 constexpr Duration kEarlyReadInterval = milliseconds(50);
 /** Packets of open flows kept until the first view: what a node with little CPU forwards in 0.3 s.
  */
-constexpr std::size_t kMostEarlyPackets = 512;
+constexpr std::size_t kMaxEarlyPackets = 512;
 /** Openings served before the socket is read again: about 10 ms on a node with little CPU. */
-constexpr std::size_t kOpeningsOfTurn = 16;
+constexpr std::size_t kMaxOpeningsPerTurn = 16;
 /** Openings served per full batch while the socket does not empty, so that new flows are still
  * placed. */
-constexpr std::size_t kOpeningsOfFullBatch = 2;
+constexpr std::size_t kMaxOpeningsPerFullBatch = 2;
 /** Pause after which a datagram most likely arrived alone: a third of the time that a node with
  * little CPU needs to handle one. */
-constexpr Duration kPauseBetweenDatagrams = std::chrono::microseconds(300);
+constexpr Duration kIdlePause = std::chrono::microseconds(300);
 /** Log lines per second and event while behind; a line costs half as much CPU time as a packet. */
-constexpr double kLogLinesBehind = 5;
+constexpr double kLogLinesPerSecondBehind = 5;
 
 /** @return the entry under which peers list this balancer. */
-KnownPeer selfOf(const PacketDaemonSettings& settings) {
+KnownPeer localPeer(const PacketDaemonSettings& settings) {
   return {settings.control_address, settings.link};
 }
 
-SplitFeedSettings splitFeedsOf(const PacketDaemonSettings& settings, const PlatformLayout& layout) {
+SplitFeedSettings makeSplitFeedSettings(const PacketDaemonSettings& settings,
+                                        const PlatformLayout& layout) {
   SplitFeedSettings feeds = settings.split_feeds;
   feeds.endpoints_prefix = layout.endpoints_prefix;
   feeds.documents_prefix = layout.documents_prefix;
@@ -68,11 +69,11 @@
       random_(makeSeededRandom(entropySeed())),
       io_context_(io_context),
       scheduler_(io_context),
-      directory_(settings_.peers, selfOf(settings_), settings_.seeds, time_source_, *random_),
+      directory_(settings_.peers, localPeer(settings_), settings_.seeds, time_source_, *random_),
       store_(platform.source, time_source_),
       hedged_store_(settings_.hedged_reads, store_, scheduler_),
-      split_store_(splitFeedsOf(settings_, platform.layout), hedged_store_, store_, scheduler_,
-                   time_source_),
+      split_store_(makeSplitFeedSettings(settings_, platform.layout), hedged_store_, store_,
+                   scheduler_, time_source_),
       selector_(settings_.upstream, settings_.control_address, directory_),
       peer_socket_(makePeerSocket()),
       view_client_(makeViewClient()),
@@ -85,7 +86,7 @@
       socket_(
           io_context, settings_.packet_address,
           [this](std::span<const std::uint8_t> bytes, Endpoint from) { onDatagram(bytes, from); },
-          UdpEndpoint::Receiving::Later),
+          UdpEndpoint::ReceiveStart::Deferred),
       signals_(io_context, SIGTERM, SIGINT, SIGHUP),
       leave_timer_(settings_.leave),
       reload_(std::move(reload)) {
@@ -107,9 +108,9 @@
   if (is_serving_) {
     return;
   }
-  socket_.receiveWaiting();
+  socket_.receivePending();
   receive_backlog_.onTurn({0, true}, time_source_.monotonicTime());
-  batch_at_.reset();
+  batch_read_at_.reset();
   scheduler_.callAfter(kEarlyReadInterval, [this] { readEarlyPackets(); });
 }
 
@@ -121,8 +122,8 @@
                                 [this] { return moreExpected(); });
 }
 
-void PacketDaemon::serveEarlyPackets(std::size_t most) {
-  for (std::size_t served = 0; served < most && !early_packets_.empty(); ++served) {
+void PacketDaemon::serveEarlyPackets(std::size_t max_count) {
+  for (std::size_t served = 0; served < max_count && !early_packets_.empty(); ++served) {
     const std::vector<std::uint8_t> bytes = std::move(early_packets_.front());
     early_packets_.pop_front();
     handle(codec_.decode(bytes).value(), bytes);
@@ -152,7 +153,7 @@
     return nullptr;
   }
   return std::make_unique<ViewClient>(
-      settings_.view_client, selfOf(settings_), peer_socket_->port(),
+      settings_.view_client, localPeer(settings_), peer_socket_->port(),
       [this](Endpoint to, const ViewMessage& message) { peer_socket_->send(to, message); },
       scheduler_, time_source_, *random_);
 }
@@ -228,12 +229,12 @@
 }
 
 void PacketDaemon::onDatagram(std::span<const std::uint8_t> bytes, Endpoint from) {
-  if (!batch_at_) {
-    handled_at_ = time_source_.monotonicTime();
-    batch_at_ = handled_at_;
+  if (!batch_read_at_) {
+    last_handled_at_ = time_source_.monotonicTime();
+    batch_read_at_ = last_handled_at_;
   }
   ++counters_.packets_received;
-  leave_timer_.onDatagram(handled_at_);
+  leave_timer_.onDatagram(last_handled_at_);
   const auto decoded = codec_.decode(bytes);
   if (!decoded) {
     ++counters_.packets_invalid[static_cast<std::size_t>(decoded.error())];
@@ -255,7 +256,7 @@
     handle(packet, bytes);
     return;
   }
-  if (early_packets_.size() >= kMostEarlyPackets) {
+  if (early_packets_.size() >= kMaxEarlyPackets) {
     early_packets_.pop_front();
     ++counters_.early_packets_dropped;
   }
@@ -263,81 +264,81 @@
 }
 
 void PacketDaemon::handle(const FlowPacket& packet, std::span<const std::uint8_t> bytes) {
-  packet_ = bytes;
+  current_packet_ = bytes;
   node_.onPacket(packet);
   const MonotonicTime now = time_source_.monotonicTime();
-  metrics_.onPacketHandled(now - handled_at_);
-  handled_at_ = now;
+  metrics_.onPacketHandled(now - last_handled_at_);
+  last_handled_at_ = now;
 }
 
 void PacketDaemon::addOpening(const FlowPacket& packet, std::span<const std::uint8_t> bytes) {
   WaitingOpening opening;
   opening.flow = packet.flow();
   opening.copies = packet.acknowledged;
-  opening.read_at = *batch_at_;
-  opening.waits_since = receive_backlog_.waitingSince(*batch_at_);
+  opening.read_at = *batch_read_at_;
+  opening.waits_since = receive_backlog_.waitingSince(*batch_read_at_);
   opening.oldest_arrival = receive_backlog_.emptyAt();
   opening.bytes.assign(bytes.begin(), bytes.end());
   openings_.add(std::move(opening));
 }
 
 bool PacketDaemon::onTurn(const ReceiveTurn& turn) {
-  if (!batch_at_) {
-    handled_at_ = time_source_.monotonicTime();
+  if (!batch_read_at_) {
+    last_handled_at_ = time_source_.monotonicTime();
   }
-  receive_backlog_.onTurn(turn, batch_at_.value_or(handled_at_));
-  batch_at_.reset();
-  if (receive_backlog_.evidenceIsStale(handled_at_)) {
+  receive_backlog_.onTurn(turn, batch_read_at_.value_or(last_handled_at_));
+  batch_read_at_.reset();
+  if (receive_backlog_.evidenceIsStale(last_handled_at_)) {
     node_.onBehind();
   }
   onBehindChanged();
   const bool open_flows_wait = !turn.is_empty || !early_packets_.empty();
-  serveEarlyPackets(DatagramReader::kMost);
-  serveOpenings(open_flows_wait ? kOpeningsOfFullBatch : kOpeningsOfTurn);
-  turn_ended_at_ = handled_at_;
+  serveEarlyPackets(DatagramReader::kMaxBatchDatagrams);
+  serveOpenings(open_flows_wait ? kMaxOpeningsPerFullBatch : kMaxOpeningsPerTurn);
+  turn_ended_at_ = last_handled_at_;
   return !openings_.isEmpty() || !early_packets_.empty();
 }
 
 bool PacketDaemon::moreExpected() const {
-  return batch_at_ && *batch_at_ - turn_ended_at_ < kPauseBetweenDatagrams;
+  return batch_read_at_ && *batch_read_at_ - turn_ended_at_ < kIdlePause;
 }
 
 void PacketDaemon::onBehindChanged() {
-  if (receive_backlog_.socketDatagrams() != datagrams_held_) {
-    datagrams_held_ = receive_backlog_.socketDatagrams();
-    socket_.holdDatagrams(datagrams_held_);
+  if (receive_backlog_.socketDatagrams() != receive_buffer_datagrams_) {
+    receive_buffer_datagrams_ = receive_backlog_.socketDatagrams();
+    socket_.limitReceiveBuffer(receive_buffer_datagrams_);
   }
   if (receive_backlog_.isBehind() == was_behind_) {
     return;
   }
   was_behind_ = receive_backlog_.isBehind();
-  log_.setLinesPerSecond(was_behind_
-                             ? std::min(kLogLinesBehind, settings_.log_limits.lines_per_second)
-                             : settings_.log_limits.lines_per_second);
+  log_.setLinesPerSecond(
+      was_behind_ ? std::min(kLogLinesPerSecondBehind, settings_.log_limits.lines_per_second)
+                  : settings_.log_limits.lines_per_second);
   log_.write(LogLevel::Warn, "daemon", was_behind_ ? "packets_behind" : "packets_caught_up",
              {{"openings_waiting", static_cast<std::uint64_t>(openings_.size())},
-              {"socket_datagrams", static_cast<std::uint64_t>(datagrams_held_)}});
+              {"socket_datagrams", static_cast<std::uint64_t>(receive_buffer_datagrams_)}});
 }
 
-void PacketDaemon::serveOpenings(std::size_t most) {
-  for (std::size_t served = 0; served < most && serveOpening(); ++served) {
+void PacketDaemon::serveOpenings(std::size_t max_count) {
+  for (std::size_t served = 0; served < max_count && serveOpening(); ++served) {
     rejectOpening();
   }
 }
 
 bool PacketDaemon::serveOpening() {
-  const auto opening = openings_.take(handled_at_);
+  const auto opening = openings_.take(last_handled_at_);
   if (!opening) {
     return false;
   }
   FlowPacket packet = codec_.decode(opening->bytes).value();
-  packet.may_be_open = openings_.mayBeOpen(*opening, handled_at_);
+  packet.may_be_open = openings_.mayBeOpen(*opening, last_handled_at_);
   handle(packet, opening->bytes);
   return true;
 }
 
 void PacketDaemon::rejectOpening() {
-  const auto opening = receive_backlog_.isBehind() ? openings_.takeToReject(handled_at_)
+  const auto opening = receive_backlog_.isBehind() ? openings_.takeToReject(last_handled_at_)
                                                    : std::optional<WaitingOpening>();
   if (!opening) {
     return;
@@ -348,12 +349,12 @@
   if (log_.wouldWrite(LogLevel::Info, "flow", "opening_rejected_behind")) {
     log_.write(LogLevel::Info, "flow", "opening_rejected_behind",
                {{"flow", flowName(packet)},
-                {"waited_ms", toMilliseconds(handled_at_ - opening->waits_since)}});
+                {"waited_ms", toMilliseconds(last_handled_at_ - opening->waits_since)}});
   }
 }
 
 void PacketDaemon::forwardPacket(const Backend& backend, CompactToken token) {
-  codec_.encodeForBackend(packet_, backend, token, datagram_);
+  codec_.encodeForBackend(current_packet_, backend, token, datagram_);
   socket_.sendBytes(backend.address, datagram_);
   if (!first_packet_at_) {
     first_packet_at_ = machineTime();
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -108,14 +108,14 @@
   /** Reads the packets that arrive before the first view, to record when they arrived. */
   void readEarlyPackets();
   void onComplete();
-  void serveEarlyPackets(std::size_t most);
+  void serveEarlyPackets(std::size_t max_count);
   /** Serves openings after packets of open flows. @return true if more are pending. */
   bool onTurn(const ReceiveTurn& turn);
   /** @return true if the current batch began shortly after the previous one ended. */
   bool moreExpected() const;
   void onBehindChanged();
   void addOpening(const FlowPacket& packet, std::span<const std::uint8_t> bytes);
-  void serveOpenings(std::size_t most);
+  void serveOpenings(std::size_t max_count);
   bool serveOpening();
   void rejectOpening();
   void handle(const FlowPacket& packet, std::span<const std::uint8_t> bytes);
@@ -172,14 +172,14 @@
   std::deque<std::vector<std::uint8_t>> early_packets_;
   bool is_serving_ = false;
   bool was_behind_ = false;
-  std::size_t datagrams_held_ = 0;
+  std::size_t receive_buffer_datagrams_ = 0;
   /** When the current batch was read; unset between batches. */
-  std::optional<MonotonicTime> batch_at_;
+  std::optional<MonotonicTime> batch_read_at_;
   MonotonicTime turn_ended_at_;
   /** When the previous packet was handled. */
-  MonotonicTime handled_at_;
+  MonotonicTime last_handled_at_;
   /** The packet that the node is handling. */
-  std::span<const std::uint8_t> packet_;
+  std::span<const std::uint8_t> current_packet_;
   std::vector<std::uint8_t> datagram_;
 };
 
--- a/src/runtime/udp_endpoint.cc
+++ b/src/runtime/udp_endpoint.cc
@@ -11,11 +11,11 @@
 
 using boost::asio::ip::udp;
 
-constexpr std::size_t kLargestDatagram = 65536;
+constexpr std::size_t kReceiveBufferBytes = 65536;
 constexpr int kSocketBufferBytes = 4 * 1024 * 1024;
 /** Half of what the kernel accounts for a small datagram with its overhead, as it doubles the
  * buffer size that is set. [bytes] */
-constexpr std::size_t kBytesOfSmallDatagram = 512;
+constexpr std::size_t kSmallDatagramBytes = 512;
 
 udp::endpoint toAsio(Endpoint endpoint) {
   return {boost::asio::ip::address_v4(endpoint.address), endpoint.port};
@@ -28,16 +28,16 @@
 }  // namespace
 
 UdpEndpoint::UdpEndpoint(boost::asio::io_context& io_context, Endpoint address, Handler handler,
-                         Receiving receiving)
+                         ReceiveStart receive_start)
     : socket_(io_context, udp::v4()),
       handler_(std::move(handler)),
-      buffer_(std::make_unique_for_overwrite<std::uint8_t[]>(kLargestDatagram)) {
+      buffer_(std::make_unique_for_overwrite<std::uint8_t[]>(kReceiveBufferBytes)) {
   socket_.bind(toAsio(address));
   socket_.non_blocking(true);
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::socket_base::receive_buffer_size(kSocketBufferBytes), ignored);
   socket_.set_option(boost::asio::socket_base::send_buffer_size(kSocketBufferBytes), ignored);
-  if (receiving == Receiving::AtOnce) {
+  if (receive_start == ReceiveStart::Immediate) {
     receiveNext();
   }
 }
@@ -50,29 +50,30 @@
   receiveBatch();
 }
 
-void UdpEndpoint::receiveWaiting() {
-  DatagramReader& waiting = reader(&::recvmmsg);
-  while (!waiting.read(socket_.native_handle(), handler_).is_empty) {
+void UdpEndpoint::receivePending() {
+  DatagramReader& datagram_reader = reader(&::recvmmsg);
+  while (!datagram_reader.read(socket_.native_handle(), handler_).is_empty) {
   }
 }
 
 DatagramReader& UdpEndpoint::reader(DatagramReader::ReceiveMany receive_many) {
   if (reader_ == nullptr) {
-    buffer_ = std::make_unique_for_overwrite<std::uint8_t[]>(DatagramReader::kLargest);
+    buffer_ = std::make_unique_for_overwrite<std::uint8_t[]>(DatagramReader::kBufferBytes);
     reader_ = std::make_unique<DatagramReader>(receive_many);
   }
   return *reader_;
 }
 
-void UdpEndpoint::holdDatagrams(std::size_t datagrams) {
-  const auto bytes = static_cast<int>(datagrams * kBytesOfSmallDatagram);
+void UdpEndpoint::limitReceiveBuffer(std::size_t datagrams) {
+  const auto bytes = static_cast<int>(datagrams * kSmallDatagramBytes);
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::socket_base::receive_buffer_size(bytes), ignored);
 }
 
 void UdpEndpoint::awaitDatagram() {
   // Waiting for readiness alone would cost one more system call than an asynchronous read.
-  socket_.async_receive_from(boost::asio::buffer(buffer_.get(), DatagramReader::kLargest), sender_,
+  socket_.async_receive_from(boost::asio::buffer(buffer_.get(), DatagramReader::kBufferBytes),
+                             sender_,
                              [this](const boost::system::error_code& error, std::size_t size) {
                                if (error == boost::asio::error::operation_aborted) {
                                  return;
@@ -124,7 +125,7 @@
 }
 
 void UdpEndpoint::receiveNext() {
-  socket_.async_receive_from(boost::asio::buffer(buffer_.get(), kLargestDatagram), sender_,
+  socket_.async_receive_from(boost::asio::buffer(buffer_.get(), kReceiveBufferBytes), sender_,
                              [this](const boost::system::error_code& error, std::size_t size) {
                                if (error == boost::asio::error::operation_aborted) {
                                  return;
--- a/src/runtime/udp_endpoint.h
+++ b/src/runtime/udp_endpoint.h
@@ -18,16 +18,16 @@
   using Handler = std::function<void(std::span<const std::uint8_t>, Endpoint)>;
 
   /** Whether datagrams are read at once, or stay in the socket until receiving is started. */
-  enum class Receiving { AtOnce, Later };
+  enum class ReceiveStart { Immediate, Deferred };
 
   /**
    * Binds the address; port 0 selects a free port.
    * @throws boost::system::system_error if the address can't be bound.
    */
   UdpEndpoint(boost::asio::io_context& io_context, Endpoint address, Handler handler,
-              Receiving receiving = Receiving::AtOnce);
+              ReceiveStart receive_start = ReceiveStart::Immediate);
 
-  /** Starts to read datagrams; must be called once, for Receiving::Later only. */
+  /** Starts to read datagrams; must be called once, for ReceiveStart::Deferred only. */
   void startReceiving() { receiveNext(); }
 
   /**
@@ -41,18 +41,19 @@
   using MoreExpected = std::function<bool()>;
 
   /**
-   * Starts to read datagrams of up to DatagramReader::kLargest bytes, in one batch per turn of the
-   * event loop; must be called once, for Receiving::Later only. The first datagram after a pause is
-   * read alone, which saves a system call; a batch follows only if more datagrams are expected.
+   * Starts to read datagrams of up to DatagramReader::kBufferBytes bytes, in one batch per turn of
+   * the event loop; must be called once, for ReceiveStart::Deferred only. The first datagram after
+   * a pause is read alone, which saves a system call; a batch follows only if more datagrams are
+   * expected.
    */
   void startReceivingBatches(TurnHandler on_turn, MoreExpected more_expected,
                              DatagramReader::ReceiveMany receive_many = &::recvmmsg);
 
   /** Handles the datagrams that are pending now, before startReceivingBatches(). */
-  void receiveWaiting();
+  void receivePending();
 
   /** Sets the receive buffer of the socket to hold about this many small datagrams. */
-  void holdDatagrams(std::size_t datagrams);
+  void limitReceiveBuffer(std::size_t datagrams);
 
   void sendDatagram(Endpoint destination, const Datagram& datagram) override;
   void sendBytes(Endpoint destination, std::span<const std::uint8_t> bytes);
