--- a/src/runtime/backend_probe.cc
+++ b/src/runtime/backend_probe.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr int kOk = 200;
+constexpr int kStatusOk = 200;
 
 std::uint32_t numberField(const json& document, const char* name) {
   const auto found = document.find(name);
@@ -28,7 +28,7 @@
   call.timeout = timeout;
   const auto reply = httpRequest(call);
   report.measured_at_ms = toUnixMilliseconds(RealTimeSource().systemTime());
-  if (!reply || reply.value().status != kOk) {
+  if (!reply || reply.value().status != kStatusOk) {
     return report;
   }
   const json document = json::parse(reply.value().body, nullptr, false);
--- a/src/runtime/http_call_result.cc
+++ b/src/runtime/http_call_result.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Result<std::string, SourceError> bodyOf(Result<HttpGetReply, HttpGetError> reply) {
+Result<std::string, SourceError> bodyOrError(Result<HttpGetReply, HttpGetError> reply) {
   if (!reply) {
     return reply.error() == HttpGetError::NoAnswer ? SourceError::NoAnswer : SourceError::Malformed;
   }
--- a/src/runtime/http_call_result.h
+++ b/src/runtime/http_call_result.h
@@ -8,6 +8,6 @@
 namespace lugfork {
 
 /** @return the body of a response with status 200, or the error of item sources for any other. */
-Result<std::string, SourceError> bodyOf(Result<HttpGetReply, HttpGetError> reply);
+Result<std::string, SourceError> bodyOrError(Result<HttpGetReply, HttpGetError> reply);
 
 }  // namespace lugfork
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -94,7 +94,7 @@
 }
 
 /** @return true if both texts are equal; takes constant time for texts of equal length. */
-bool sameSecret(const std::string& left, const std::string& right) {
+bool secretsEqual(const std::string& left, const std::string& right) {
   return left.size() == right.size() && sodium_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
@@ -162,18 +162,18 @@
 }  // namespace
 
 /** Authenticates requests and passes them to the handler. */
-class HttpServer::RequestAnswerer {
+class HttpServer::RequestHandler {
  public:
-  RequestAnswerer(Handler handler, HttpServerSecurity security)
+  RequestHandler(Handler handler, HttpServerSecurity security)
       : handler_(std::move(handler)), security_(std::move(security)) {}
 
   /** CivetWeb callback. @return 0 to leave the request to CivetWeb, which rejects it. */
-  static int onRequest(mg_connection* connection, void* answerer) {
+  static int onRequest(mg_connection* connection, void* request_handler) {
     const std::string_view method = mg_get_request_info(connection)->request_method;
     if (method != "GET" && method != "POST" && method != "PUT" && method != "DELETE") {
       return 0;
     }
-    static_cast<const RequestAnswerer*>(answerer)->handle(connection);
+    static_cast<const RequestHandler*>(request_handler)->handle(connection);
     return 1;
   }
 
@@ -193,12 +193,12 @@
   }
 
   bool isAuthorized(const HttpRequest& request) const {
-    if (security_.bearer_token.empty() || security_.open_paths.contains(request.path)) {
+    if (security_.bearer_token.empty() || security_.unauthenticated_paths.contains(request.path)) {
       return true;
     }
     const auto header = request.headers.find("authorization");
     return header != request.headers.end() &&
-           sameSecret(header->second, "Bearer " + security_.bearer_token);
+           secretsEqual(header->second, "Bearer " + security_.bearer_token);
   }
 
   const Handler handler_;
@@ -222,13 +222,13 @@
     requireTls();
     options.insert(options.end(), {"ssl_certificate", security.certificate_file});
   }
-  answerer_ = std::make_unique<RequestAnswerer>(std::move(handler), std::move(security));
+  request_handler_ = std::make_unique<RequestHandler>(std::move(handler), std::move(security));
   const mg_callbacks no_callbacks{};
   server_ = mg_start(&no_callbacks, nullptr, optionPointers(options).data());
   if (server_ == nullptr) {
     throw std::runtime_error("HTTP server at " + toString(address) + " can't start");
   }
-  mg_set_request_handler(server_, "/", &RequestAnswerer::onRequest, answerer_.get());
+  mg_set_request_handler(server_, "/", &RequestHandler::onRequest, request_handler_.get());
 }
 
 HttpServer::~HttpServer() {
@@ -249,9 +249,9 @@
 }
 
 Endpoint HttpServer::localAddress() const {
-  constexpr int kMostPorts = 2;
-  std::array<mg_server_port, kMostPorts> ports{};
-  const int count = mg_get_server_ports(server_, kMostPorts, ports.data());
+  constexpr int kMaxPorts = 2;
+  std::array<mg_server_port, kMaxPorts> ports{};
+  const int count = mg_get_server_ports(server_, kMaxPorts, ports.data());
   const auto port = static_cast<std::uint16_t>(count > 0 ? ports[0].port : 0);
   return {address_.address, port};
 }
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -40,7 +40,7 @@
   /** Clients must send "Authorization: Bearer TOKEN"; empty disables authentication. */
   std::string bearer_token;
   /** Paths that need no token, for the health checks of the fabric. */
-  std::set<std::string> open_paths;
+  std::set<std::string> unauthenticated_paths;
 };
 
 /** Limits of an HttpServer. */
@@ -71,10 +71,10 @@
   Endpoint localAddress() const;
 
  private:
-  class RequestAnswerer;
+  class RequestHandler;
 
   const Endpoint address_;
-  std::unique_ptr<RequestAnswerer> answerer_;
+  std::unique_ptr<RequestHandler> request_handler_;
   mg_context* server_ = nullptr;
 };
 
--- a/src/runtime/node_daemon.cc
+++ b/src/runtime/node_daemon.cc
@@ -19,7 +19,7 @@
 constexpr Duration kHousekeepingInterval = seconds(5);
 constexpr Duration kWatchPollInterval = milliseconds(50);
 /** Limit of concurrent watches; keeps the other threads of the HTTP server free for plain reads. */
-constexpr int kMaxWatches = 8;
+constexpr int kMaxConcurrentWatches = 8;
 constexpr const char* kConfigurationPath = "/v1/configuration";
 constexpr const char* kMachinesPath = "/v1/machines";
 
@@ -167,7 +167,7 @@
 
 HttpServerSecurity NodeDaemon::apiSecurity() const {
   HttpServerSecurity security = settings_.api_security;
-  security.open_paths = {"/healthz"};
+  security.unauthenticated_paths = {"/healthz"};
   return security;
 }
 
@@ -177,7 +177,7 @@
     return problemResponse(kHttpBadRequest, parameters.problem);
   }
   if (parameters.watch) {
-    const bool may_wait = ++watches_ <= kMaxWatches;
+    const bool may_wait = ++watches_ <= kMaxConcurrentWatches;
     const bool reached = may_wait && waitForVersionAbove(*parameters.watch);
     --watches_;
     if (!may_wait) {
--- a/src/runtime/resource_api.cc
+++ b/src/runtime/resource_api.cc
@@ -12,15 +12,15 @@
 using nlohmann::json;
 
 constexpr const char* kPrefix = "/v1/";
-constexpr Duration kDefaultWatch = seconds(30);
+constexpr Duration kDefaultWatchTimeout = seconds(30);
 
 /** @return the number, or nothing if the text contains anything else. */
 std::optional<std::uint64_t> parseNumber(const std::string& text) {
   std::uint64_t number = 0;
   const char* const end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == end;
-  return whole ? std::optional(number) : std::nullopt;
+  const bool complete = parsed.ec == std::errc() && parsed.ptr == end;
+  return complete ? std::optional(number) : std::nullopt;
 }
 
 }  // namespace
@@ -32,10 +32,10 @@
   }
   const auto version = parseNumber(from->second);
   const auto timeout = request.query.find("timeout_ms");
-  const auto limit =
-      static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(kMaxWatch).count());
-  const auto default_ms =
-      static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(kDefaultWatch).count());
+  const auto limit = static_cast<std::uint64_t>(
+      std::chrono::duration_cast<milliseconds>(kMaxWatchTimeout).count());
+  const auto default_ms = static_cast<std::uint64_t>(
+      std::chrono::duration_cast<milliseconds>(kDefaultWatchTimeout).count());
   const auto timeout_ms =
       timeout == request.query.end() ? std::optional(default_ms) : parseNumber(timeout->second);
   if (!version) {
@@ -94,7 +94,7 @@
                          {"known_members", cluster.known_members},
                          {"configuration_conflicts", cluster.configuration_conflicts},
                          {"placement_blocked_by", toString(node_.placementBlockedBy())},
-                         {"in_force", views_.spread()},
+                         {"in_force", views_.propagationStatus()},
                          {"placements", counters.placements},
                          {"forwards", counters.forwards + counters.forwards_continue_only}});
 }
--- a/src/runtime/resource_api.h
+++ b/src/runtime/resource_api.h
@@ -24,7 +24,7 @@
 };
 
 /** Upper limit of the timeout of a watch. */
-inline constexpr Duration kMaxWatch = seconds(60);
+inline constexpr Duration kMaxWatchTimeout = seconds(60);
 
 /** Parses `watch_from` and `timeout_ms` of a request's query. */
 WatchParameters parseWatch(const HttpRequest& request);
--- a/src/runtime/resource_views.cc
+++ b/src/runtime/resource_views.cc
@@ -11,7 +11,7 @@
 
 constexpr const char* kPlaceable = "placeable";
 /** Maximum number of peers listed as behind in one response. */
-constexpr std::size_t kListedBehind = 10;
+constexpr std::size_t kMaxListedBehind = 10;
 
 json toJson(const BackendReport& report) {
   return {{"reachable", report.reachable},
@@ -74,7 +74,7 @@
   return items;
 }
 
-json ResourceViews::spread() const {
+json ResourceViews::propagationStatus() const {
   std::size_t current = 0;
   json behind = json::array();
   for (const Machine& machine : machines_) {
@@ -84,7 +84,7 @@
     }
     if (status != nullptr && status->version >= node_.configuration().version()) {
       ++current;
-    } else if (behind.size() < kListedBehind) {
+    } else if (behind.size() < kMaxListedBehind) {
       behind.push_back(machine.name);
     }
   }
@@ -99,7 +99,7 @@
   return {{"metadata", {{"kind", "Zone"}, {"name", zone.name}, {"id", zone.id.value()}}},
           {"spec", {{"region", zone.region}, {"version", version()}}},
           {"status",
-           {{"in_force", spread()},
+           {{"in_force", propagationStatus()},
             {"conditions", json::array({condition(key, "InForce", true, "adopted")})}}}};
 }
 
@@ -114,7 +114,7 @@
         {"allowed_zones", zoneNames(view, service.allowed_zones)},
         {"version", version()}}},
       {"status",
-       {{"in_force", spread()},
+       {{"in_force", propagationStatus()},
         {"backends", view.backendsOf(service.id).size()},
         {"backends_placeable", placeable},
         {"conditions", json::array({condition(key, "InForce", true, "adopted"),
@@ -139,7 +139,7 @@
             {"draining", backend.draining},
             {"version", version()}}},
           {"status",
-           {{"in_force", spread()},
+           {{"in_force", propagationStatus()},
             {"report", report == nullptr ? json() : toJson(*report)},
             {"conditions",
              json::array({condition(key, "InForce", true, "adopted"),
--- a/src/runtime/resource_views.h
+++ b/src/runtime/resource_views.h
@@ -30,7 +30,7 @@
   nlohmann::json collection(const std::string& name);
 
   /** @return how many known peers have the local version in force, and which don't. */
-  nlohmann::json spread() const;
+  nlohmann::json propagationStatus() const;
 
  private:
   nlohmann::json zone(const Zone& zone);
--- a/tests/runtime/http_server_test.cc
+++ b/tests/runtime/http_server_test.cc
@@ -19,8 +19,9 @@
   HttpServer server{Endpoint{0x7f000001, 0},
                     [this](const HttpRequest& request) { return api.handle(request); }};
 
-  HttpReply ask(const std::string& method, const std::string& target, const std::string& body = "",
-                const std::map<std::string, std::string>& headers = {}) const {
+  HttpReply sendRequest(const std::string& method, const std::string& target,
+                        const std::string& body = "",
+                        const std::map<std::string, std::string>& headers = {}) const {
     HttpCall call;
     call.method = method;
     call.server = server.localAddress();
@@ -34,10 +35,10 @@
 
 TEST_CASE("health check and resources return 503 until the first configuration is in force") {
   ApiFixture fixture;
-  CHECK(fixture.ask("GET", "/healthz").status == 503);
-  CHECK(fixture.ask("GET", "/v1/backends").status == 503);
+  CHECK(fixture.sendRequest("GET", "/healthz").status == 503);
+  CHECK(fixture.sendRequest("GET", "/v1/backends").status == 503);
   fixture.node.onPlatformConfiguration(radioDocument().dump());
-  CHECK(fixture.ask("GET", "/v1/backends").status == 200);
+  CHECK(fixture.sendRequest("GET", "/v1/backends").status == 200);
 }
 
 TEST_CASE("API requests return the expected status, and errors are problem documents") {
@@ -74,7 +75,7 @@
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   for (const Row& row : rows) {
-    const HttpReply reply = fixture.ask(row.method, row.target, row.body);
+    const HttpReply reply = fixture.sendRequest(row.method, row.target, row.body);
     INFO(row.name << ": " << reply.body);
     CHECK(reply.status == row.status);
     const json body = json::parse(reply.body, nullptr, false);
@@ -84,7 +85,8 @@
       CHECK(body.contains("title"));
     }
   }
-  const json problem = json::parse(fixture.ask("POST", "/v1/validate", invalid.dump()).body);
+  const json problem =
+      json::parse(fixture.sendRequest("POST", "/v1/validate", invalid.dump()).body);
   REQUIRE(problem["errors"].size() == 2);
   CHECK(problem["errors"][0]["path"] == "/backends/1/zone");
   CHECK(problem["errors"][1]["path"] == "/backends/2/service");
@@ -114,7 +116,7 @@
                       {"listen-api-3", true, "placeable"}};
   for (const Row& row : rows) {
     const std::string target = std::string("/v1/backends/") + row.backend;
-    const json item = json::parse(fixture.ask("GET", target).body);
+    const json item = json::parse(fixture.sendRequest("GET", target).body);
     INFO(item.dump());
     CHECK(item["metadata"]["name"] == row.backend);
     CHECK(item["spec"]["version"] == 1);
@@ -131,7 +133,7 @@
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   const auto condition = [&] {
-    const json item = json::parse(fixture.ask("GET", "/v1/backends/ingest-1").body);
+    const json item = json::parse(fixture.sendRequest("GET", "/v1/backends/ingest-1").body);
     return item["status"]["conditions"][0];
   };
   const json first = condition();
@@ -143,15 +145,17 @@
   ApiFixture fixture;
   json document = radioDocument();
   fixture.node.onPlatformConfiguration(document.dump());
-  const HttpReply first = fixture.ask("GET", "/v1/configuration");
+  const HttpReply first = fixture.sendRequest("GET", "/v1/configuration");
   REQUIRE_FALSE(first.etag.empty());
   const HttpReply again =
-      fixture.ask("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}});
+      fixture.sendRequest("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}});
   CHECK(again.status == 304);
   CHECK(again.body.empty());
   document["version"] = 2;
   fixture.node.onPlatformConfiguration(document.dump());
-  CHECK(fixture.ask("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}}).status == 200);
+  CHECK(
+      fixture.sendRequest("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}}).status ==
+      200);
 }
 
 TEST_CASE("invalid watch parameters are rejected") {
@@ -198,7 +202,7 @@
   };
   HttpServerSecurity security;
   security.bearer_token = "secret";
-  security.open_paths = {"/healthz"};
+  security.unauthenticated_paths = {"/healthz"};
   int handled = 0;
   const HttpServer server(
       {0x7f000001, 0},
@@ -247,7 +251,7 @@
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   for (const char* target : {"/v1/configuration", "/v1/status", "/v1/backends", "/v1/nodes"}) {
-    CHECK(fixture.ask("GET", target).body.find("5ca1ab1e") == std::string::npos);
+    CHECK(fixture.sendRequest("GET", target).body.find("5ca1ab1e") == std::string::npos);
   }
 }
 
--- a/tests/runtime/udp_peer_socket_test.cc
+++ b/tests/runtime/udp_peer_socket_test.cc
@@ -58,7 +58,7 @@
     return std::make_unique<PeerNode>(io_context, Endpoint{address, port}, key, scheduler);
   }
 
-  void ask(Revision after) {
+  void requestView(Revision after) {
     requester->client.readView({kResponder, 1}, after, milliseconds(500),
                                [this](Result<PeerView, PeerRefusal> result) {
                                  answer = std::move(result);
@@ -85,7 +85,7 @@
   const auto responder = harness.make(kResponder);
   responder->fill(100);
   responder->directory.onAlive({5, 1});
-  harness.ask(0);
+  harness.requestView(0);
   REQUIRE(*harness.answer);
   CHECK(harness.answer->value().status.position == 12);
   CHECK(harness.answer->value().status.age_ms == 30);
@@ -103,7 +103,7 @@
   const auto responder = harness.make(kResponder);
   constexpr std::size_t kBytes = std::size_t{100} * kPartBytes;
   responder->fill(kBytes);
-  harness.ask(0);
+  harness.requestView(0);
   REQUIRE(*harness.answer);
   REQUIRE(harness.answer->value().changes.size() == 1);
   CHECK(harness.answer->value().changes[0].item.value.size() == kBytes);
@@ -118,7 +118,7 @@
     responder->serves = true;
     responder->provider.onViewReady();
   });
-  harness.ask(0);
+  harness.requestView(0);
   REQUIRE(*harness.answer);
   CHECK(harness.answer->value().status.position == 12);
 }
@@ -144,7 +144,7 @@
     after = 5;
     cause = SourceError::Unavailable;
   }
-  harness.ask(after);
+  harness.requestView(after);
   REQUIRE_FALSE(*harness.answer);
   CHECK(harness.answer->error().cause == cause);
 }
