--- a/src/runtime/api_response.cc
+++ b/src/runtime/api_response.cc
@@ -21,7 +21,7 @@
 HttpResponse jsonResponse(int status, const nlohmann::json& body) {
   HttpResponse response;
   response.status = status;
-  // Names come from requests as well and need not be UTF-8.
+  // Names may come from requests and need not be valid UTF-8.
   const auto replace = nlohmann::json::error_handler_t::replace;
   response.body = body.dump(-1, ' ', false, replace) + "\n";
   return response;
@@ -39,8 +39,8 @@
   HttpResponse response = jsonResponse(kHttpOk, body);
   const std::string tag = entityTag(response.body);
   response.headers["ETag"] = tag;
-  const auto known = request.headers.find("if-none-match");
-  if (known != request.headers.end() && known->second == tag) {
+  const auto if_none_match = request.headers.find("if-none-match");
+  if (if_none_match != request.headers.end() && if_none_match->second == tag) {
     response.status = kHttpNotModified;
     response.body.clear();
   }
--- a/src/runtime/node_daemon.cc
+++ b/src/runtime/node_daemon.cc
@@ -18,8 +18,8 @@
 constexpr std::size_t kWorkerThreads = 8;
 constexpr Duration kHousekeepingInterval = seconds(5);
 constexpr Duration kWatchPollInterval = milliseconds(50);
-/** Watches at a time; the other threads of the HTTP server stay free for plain reads. */
-constexpr int kMaxWatches = 8;
+/** Limit of concurrent watches; keeps the other threads of the HTTP server free for plain reads. */
+constexpr int kMaxConcurrentWatches = 8;
 constexpr const char* kConfigurationPath = "/v1/configuration";
 constexpr const char* kMachinesPath = "/v1/machines";
 
@@ -51,7 +51,7 @@
       housekeeping_(io_context_, kHousekeepingInterval,
                     [this] {
                       api_.observeConditions();
-                      reportRefusedPeers();
+                      logRejectedPeers();
                     }),
       signals_(io_context_, SIGTERM, SIGINT),
       leave_timer_(settings_.leave) {
@@ -156,18 +156,18 @@
   }
 }
 
-void NodeDaemon::reportRefusedPeers() {
-  const std::uint64_t refused = peers_.refusedPeers();
-  if (refused != reported_refused_peers_) {
+void NodeDaemon::logRejectedPeers() {
+  const std::uint64_t rejected = peers_.rejectedPeers();
+  if (rejected != logged_rejected_peers_) {
     log_.write(LogLevel::Warn, "peers", "peers_refused",
-               {{"connections", refused - reported_refused_peers_}, {"total", refused}});
-    reported_refused_peers_ = refused;
+               {{"connections", rejected - logged_rejected_peers_}, {"total", rejected}});
+    logged_rejected_peers_ = rejected;
   }
 }
 
 HttpServerSecurity NodeDaemon::apiSecurity() const {
   HttpServerSecurity security = settings_.api_security;
-  security.open_paths = {"/healthz"};
+  security.unauthenticated_paths = {"/healthz"};
   return security;
 }
 
@@ -177,7 +177,7 @@
     return problemResponse(kHttpBadRequest, parameters.problem);
   }
   if (parameters.watch) {
-    const bool may_wait = ++watches_ <= kMaxWatches;
+    const bool may_wait = ++watches_ <= kMaxConcurrentWatches;
     const bool reached = may_wait && waitForVersionAbove(*parameters.watch);
     --watches_;
     if (!may_wait) {
@@ -189,10 +189,10 @@
       return unchanged;
     }
   }
-  return callOnLoop(io_context_, [this, &request] { return answer(request); });
+  return callOnLoop(io_context_, [this, &request] { return respond(request); });
 }
 
-HttpResponse NodeDaemon::answer(const HttpRequest& request) {
+HttpResponse NodeDaemon::respond(const HttpRequest& request) {
   if (request.path != "/metrics") {
     return api_.handle(request);
   }
@@ -203,7 +203,7 @@
 }
 
 bool NodeDaemon::waitForVersionAbove(const WatchRequest& watch) {
-  const MonotonicTime limit = time_source_.monotonicTime() + watch.timeout;
+  const MonotonicTime deadline = time_source_.monotonicTime() + watch.timeout;
   const auto reached = [&] {
     return callOnLoop(io_context_, [&] { return node_.configuration().version() > watch.from; });
   };
@@ -211,7 +211,7 @@
     if (reached()) {
       return true;
     }
-    if (time_source_.monotonicTime() >= limit) {
+    if (time_source_.monotonicTime() >= deadline) {
       return false;
     }
     std::this_thread::sleep_for(kWatchPollInterval);
--- a/src/runtime/node_daemon.h
+++ b/src/runtime/node_daemon.h
@@ -17,7 +17,7 @@
 
 namespace lugfork {
 
-/** Addresses and tunables of the daemon around the node. */
+/** Settings of a NodeDaemon. */
 struct NodeDaemonSettings {
   NodeSettings node;
   Endpoint data_address;
@@ -27,11 +27,11 @@
   HttpServerSecurity api_security;
   Duration platform_timeout = seconds(2);
   Duration probe_timeout = milliseconds(500);
-  /** How long the node relays after a planned stop begins. */
+  /** How long the node forwards datagrams after a planned stop begins. */
   LeaveSettings leave;
 };
 
-/** Runs one Node on real sockets and clocks. */
+/** Runs one Node on sockets and the system clocks. */
 class NodeDaemon : private NodeOutputs {
  public:
   NodeDaemon(NodeDaemonSettings settings, EventLog& log);
@@ -51,13 +51,16 @@
   void readPlatform(const std::string& path, std::function<void(const std::string&)> callback);
   void onStopSignal();
   void stopWhenQuiet();
-  /** Called on the HTTP server's threads. */
+  /** Runs on the HTTP server's threads. */
   HttpResponse onHttpRequest(const HttpRequest& request);
-  HttpResponse answer(const HttpRequest& request);
+  HttpResponse respond(const HttpRequest& request);
 
-  /** Blocks until the version is in force, the time is over or the daemon stops. */
+  /**
+   * Blocks until a version above `watch.from` is in force, the timeout ends or the daemon stops.
+   * @return true if such a version is in force.
+   */
   bool waitForVersionAbove(const WatchRequest& watch);
-  void reportRefusedPeers();
+  void logRejectedPeers();
   HttpServerSecurity apiSecurity() const;
 
   const NodeDaemonSettings settings_;
@@ -78,7 +81,7 @@
   std::set<std::string> reads_in_progress_;
   std::set<BackendId> probes_in_progress_;
   std::size_t next_platform_ = 0;
-  std::uint64_t reported_refused_peers_ = 0;
+  std::uint64_t logged_rejected_peers_ = 0;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> watches_ = 0;
   LeaveTimer leave_timer_;
--- a/src/runtime/resource_views.cc
+++ b/src/runtime/resource_views.cc
@@ -10,8 +10,8 @@
 using nlohmann::json;
 
 constexpr const char* kPlaceable = "placeable";
-/** Names of peers that are behind in one answer, at most. */
-constexpr std::size_t kListedBehind = 10;
+/** Maximum number of peers listed as behind in one response. */
+constexpr std::size_t kMaxListedBehind = 10;
 
 json toJson(const BackendReport& report) {
   return {{"reachable", report.reachable},
@@ -74,7 +74,7 @@
   return items;
 }
 
-json ResourceViews::spread() const {
+json ResourceViews::propagationStatus() const {
   std::size_t current = 0;
   json behind = json::array();
   for (const Machine& machine : machines_) {
@@ -84,7 +84,7 @@
     }
     if (status != nullptr && status->version >= node_.configuration().version()) {
       ++current;
-    } else if (behind.size() < kListedBehind) {
+    } else if (behind.size() < kMaxListedBehind) {
       behind.push_back(machine.name);
     }
   }
@@ -99,7 +99,7 @@
   return {{"metadata", {{"kind", "Zone"}, {"name", zone.name}, {"id", zone.id.value()}}},
           {"spec", {{"region", zone.region}, {"version", version()}}},
           {"status",
-           {{"in_force", spread()},
+           {{"in_force", propagationStatus()},
             {"conditions", json::array({condition(key, "InForce", true, "adopted")})}}}};
 }
 
@@ -114,7 +114,7 @@
         {"allowed_zones", zoneNames(view, service.allowed_zones)},
         {"version", version()}}},
       {"status",
-       {{"in_force", spread()},
+       {{"in_force", propagationStatus()},
         {"backends", view.backendsOf(service.id).size()},
         {"backends_placeable", placeable},
         {"conditions", json::array({condition(key, "InForce", true, "adopted"),
@@ -139,7 +139,7 @@
             {"draining", backend.draining},
             {"version", version()}}},
           {"status",
-           {{"in_force", spread()},
+           {{"in_force", propagationStatus()},
             {"report", report == nullptr ? json() : toJson(*report)},
             {"conditions",
              json::array({condition(key, "InForce", true, "adopted"),
@@ -185,7 +185,7 @@
   json view = {{"self", false}, {"state", member == nullptr ? "unknown" : toString(member->state)}};
   view["listed_as"] = machine.leaving ? "leaving" : "live";
   view["version_in_force"] = status == nullptr ? json() : json(status->version.value());
-  view["heard_at_ms"] = status == nullptr ? json() : json(toUnixMilliseconds(status->heard_at));
+  view["heard_at_ms"] = status == nullptr ? json() : json(toUnixMilliseconds(status->received_at));
   const std::string reason = status == nullptr ? "never_heard" : current ? "reported" : "behind";
   view["conditions"] = json::array({condition(key, "InForce", current, reason)});
   return {{"metadata", {{"kind", "Node"}, {"name", machine.name}}},
@@ -199,11 +199,11 @@
 
 json ResourceViews::condition(const std::string& resource, const std::string& type, bool holds,
                               const std::string& reason) {
-  const Condition seen = conditions_.observe(resource, type, holds, reason);
-  return {{"type", seen.type},
-          {"status", seen.holds},
-          {"reason", seen.reason},
-          {"since_ms", toUnixMilliseconds(seen.since)}};
+  const Condition observed = conditions_.observe(resource, type, holds, reason);
+  return {{"type", observed.type},
+          {"status", observed.holds},
+          {"reason", observed.reason},
+          {"since_ms", toUnixMilliseconds(observed.since)}};
 }
 
 std::string ResourceViews::placementState(const Backend& backend) const {
--- a/src/runtime/simulation_page.cc
+++ b/src/runtime/simulation_page.cc
@@ -14,7 +14,7 @@
 constexpr int kGroupGap = 10;
 constexpr int kValueWidth = 120;
 
-/** One measure of a chart and how it is drawn. */
+/** One measure of a chart and its colour. */
 struct Measure {
   const char* name;
   const char* colour;
@@ -23,7 +23,7 @@
 
 constexpr Measure kBrokenFlows[] = {
     {"planned changes", "#c0392b", &SimulationResult::broken_planned},
-    {"unplanned deaths of back ends", "#7f8c8d", &SimulationResult::broken_unplanned},
+    {"unplanned backend failures", "#7f8c8d", &SimulationResult::broken_unplanned},
 };
 constexpr Measure kImbalance[] = {
     {"median", "#2980b9", &SimulationResult::imbalance_p50},
@@ -53,18 +53,18 @@
   return escaped;
 }
 
-double largestValue(const std::vector<SimulationResult>& results, const Measure (&measures)[2]) {
-  double largest = 0;
+double maxValue(const std::vector<SimulationResult>& results, const Measure (&measures)[2]) {
+  double max_value = 0;
   for (const SimulationResult& result : results) {
     for (const Measure& measure : measures) {
-      largest = std::max(largest, result.*measure.value);
+      max_value = std::max(max_value, result.*measure.value);
     }
   }
-  return largest;
+  return max_value;
 }
 
-void drawBar(std::ostringstream& svg, int y, double value, double largest, const char* colour) {
-  const double width = largest > 0 ? kBarWidth * value / largest : 0;
+void drawBar(std::ostringstream& svg, int y, double value, double max_value, const char* colour) {
+  const double width = max_value > 0 ? kBarWidth * value / max_value : 0;
   svg << "<rect x=\"" << kLabelWidth << "\" y=\"" << y << "\" width=\"" << width << "\" height=\""
       << kBarHeight - 2 << "\" fill=\"" << colour << "\"/><text x=\"" << kLabelWidth + width + 6
       << "\" y=\"" << y + kBarHeight - 4 << "\">" << value << "</text>\n";
@@ -72,7 +72,7 @@
 
 std::string chart(const std::string& title, const std::vector<SimulationResult>& results,
                   const Measure (&measures)[2]) {
-  const double largest = largestValue(results, measures);
+  const double max_value = maxValue(results, measures);
   const int group = 2 * kBarHeight + kGroupGap;
   const int height = group * static_cast<int>(results.size()) + kGroupGap;
   std::ostringstream svg;
@@ -86,7 +86,7 @@
   for (const SimulationResult& result : results) {
     svg << "<text x=\"0\" y=\"" << y + kBarHeight << "\">" << escape(result.label) << "</text>\n";
     for (const Measure& measure : measures) {
-      drawBar(svg, y, result.*measure.value, largest, measure.colour);
+      drawBar(svg, y, result.*measure.value, max_value, measure.colour);
       y += kBarHeight;
     }
     y += kGroupGap;
@@ -122,7 +122,7 @@
                                                             const std::string& json_text) {
   const auto document = nlohmann::ordered_json::parse(json_text, nullptr, false);
   if (!document.is_object()) {
-    return std::string("must be the one JSON object that lugfork-sim run prints");
+    return std::string("must be the single JSON object that lugfork-sim run prints");
   }
   SimulationResult result;
   result.label = label;
@@ -152,7 +152,7 @@
           "<body><h1>lugfork: simulated fleets by router and placement</h1>\n";
   if (!results.empty()) {
     page << chart("Broken flows", results, kBrokenFlows)
-         << chart("Imbalance: busiest back end over the mean", results, kImbalance)
+         << chart("Imbalance: busiest backend over the mean", results, kImbalance)
          << table(results);
   }
   page << "</body></html>\n";
--- a/tests/runtime/http_server_test.cc
+++ b/tests/runtime/http_server_test.cc
@@ -19,8 +19,9 @@
   HttpServer server{Endpoint{0x7f000001, 0},
                     [this](const HttpRequest& request) { return api.handle(request); }};
 
-  HttpReply ask(const std::string& method, const std::string& target, const std::string& body = "",
-                const std::map<std::string, std::string>& headers = {}) const {
+  HttpReply sendRequest(const std::string& method, const std::string& target,
+                        const std::string& body = "",
+                        const std::map<std::string, std::string>& headers = {}) const {
     HttpCall call;
     call.method = method;
     call.server = server.localAddress();
@@ -32,15 +33,15 @@
   }
 };
 
-TEST_CASE("health and resources before and after the first configuration") {
+TEST_CASE("health check and resources return 503 until the first configuration is in force") {
   ApiFixture fixture;
-  CHECK(fixture.ask("GET", "/healthz").status == 503);
-  CHECK(fixture.ask("GET", "/v1/backends").status == 503);
+  CHECK(fixture.sendRequest("GET", "/healthz").status == 503);
+  CHECK(fixture.sendRequest("GET", "/v1/backends").status == 503);
   fixture.node.onPlatformConfiguration(radioDocument().dump());
-  CHECK(fixture.ask("GET", "/v1/backends").status == 200);
+  CHECK(fixture.sendRequest("GET", "/v1/backends").status == 200);
 }
 
-TEST_CASE("each request to the API is answered with its status, errors as problem documents") {
+TEST_CASE("API requests return the expected status, and errors are problem documents") {
   json invalid = radioDocument();
   invalid["backends"][1]["zone"] = "x";
   invalid["backends"][2]["service"] = "y";
@@ -56,13 +57,13 @@
       {"one resource", "GET", "/v1/backends/ingest-1", "", 200},
       {"nodes", "GET", "/v1/nodes", "", 200},
       {"schema", "GET", "/v1/schema", "", 200},
-      {"no resource of that name", "GET", "/v1/backends/nobody", "", 404},
+      {"missing resource", "GET", "/v1/backends/nobody", "", 404},
       {"empty name", "GET", "/v1/backends/", "", 404},
-      {"name that is no UTF-8", "GET", "/v1/backends/%ff", "", 404},
+      {"name that is not UTF-8", "GET", "/v1/backends/%ff", "", 404},
       {"deeply nested", "POST", "/v1/validate", std::string(100000, '['), 422},
       {"unknown resource", "GET", "/v1/nothing", "", 404},
       {"outside the API", "GET", "/", "", 404},
-      {"path that climbs", "GET", "/v1/../../etc/passwd", "", 404},
+      {"path traversal", "GET", "/v1/../../etc/passwd", "", 404},
       {"write to a resource", "PUT", "/v1/services", "{}", 405},
       {"delete of a resource", "DELETE", "/v1/services", "", 405},
       {"read of validate", "GET", "/v1/validate", "", 405},
@@ -74,7 +75,7 @@
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   for (const Row& row : rows) {
-    const HttpReply reply = fixture.ask(row.method, row.target, row.body);
+    const HttpReply reply = fixture.sendRequest(row.method, row.target, row.body);
     INFO(row.name << ": " << reply.body);
     CHECK(reply.status == row.status);
     const json body = json::parse(reply.body, nullptr, false);
@@ -84,13 +85,14 @@
       CHECK(body.contains("title"));
     }
   }
-  const json problem = json::parse(fixture.ask("POST", "/v1/validate", invalid.dump()).body);
+  const json problem =
+      json::parse(fixture.sendRequest("POST", "/v1/validate", invalid.dump()).body);
   REQUIRE(problem["errors"].size() == 2);
   CHECK(problem["errors"][0]["path"] == "/backends/1/zone");
   CHECK(problem["errors"][1]["path"] == "/backends/2/service");
 }
 
-TEST_CASE("a resource tells what is declared, what this node sees, and why") {
+TEST_CASE("a backend resource contains its declared spec, observed conditions and reasons") {
   ApiFixture fixture;
   json document = radioDocument();
   document["backends"][0]["draining"] = true;
@@ -114,7 +116,7 @@
                       {"listen-api-3", true, "placeable"}};
   for (const Row& row : rows) {
     const std::string target = std::string("/v1/backends/") + row.backend;
-    const json item = json::parse(fixture.ask("GET", target).body);
+    const json item = json::parse(fixture.sendRequest("GET", target).body);
     INFO(item.dump());
     CHECK(item["metadata"]["name"] == row.backend);
     CHECK(item["spec"]["version"] == 1);
@@ -127,11 +129,11 @@
   }
 }
 
-TEST_CASE("a condition keeps its time until it changes") {
+TEST_CASE("a condition keeps its start time while it does not change") {
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   const auto condition = [&] {
-    const json item = json::parse(fixture.ask("GET", "/v1/backends/ingest-1").body);
+    const json item = json::parse(fixture.sendRequest("GET", "/v1/backends/ingest-1").body);
     return item["status"]["conditions"][0];
   };
   const json first = condition();
@@ -139,22 +141,24 @@
   CHECK(condition() == first);
 }
 
-TEST_CASE("a known entity tag is answered by 304 until the content changes") {
+TEST_CASE("a matching entity tag returns 304 until the content changes") {
   ApiFixture fixture;
   json document = radioDocument();
   fixture.node.onPlatformConfiguration(document.dump());
-  const HttpReply first = fixture.ask("GET", "/v1/configuration");
+  const HttpReply first = fixture.sendRequest("GET", "/v1/configuration");
   REQUIRE_FALSE(first.etag.empty());
   const HttpReply again =
-      fixture.ask("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}});
+      fixture.sendRequest("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}});
   CHECK(again.status == 304);
   CHECK(again.body.empty());
   document["version"] = 2;
   fixture.node.onPlatformConfiguration(document.dump());
-  CHECK(fixture.ask("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}}).status == 200);
+  CHECK(
+      fixture.sendRequest("GET", "/v1/configuration", "", {{"If-None-Match", first.etag}}).status ==
+      200);
 }
 
-TEST_CASE("watch parameters are checked") {
+TEST_CASE("invalid watch parameters are rejected") {
   struct Row {
     std::map<std::string, std::string> query;
     bool watches;
@@ -180,7 +184,7 @@
   }
 }
 
-TEST_CASE("a server with a token answers nobody without it, save for the open paths") {
+TEST_CASE("requests without the bearer token get 401, except for unauthenticated paths") {
   struct Row {
     const char* name;
     const char* path;
@@ -198,7 +202,7 @@
   };
   HttpServerSecurity security;
   security.bearer_token = "secret";
-  security.open_paths = {"/healthz"};
+  security.unauthenticated_paths = {"/healthz"};
   int handled = 0;
   const HttpServer server(
       {0x7f000001, 0},
@@ -220,10 +224,10 @@
   CHECK(handled == expected_handled);
 }
 
-TEST_CASE("a handler that throws is answered by 500, and the server goes on") {
+TEST_CASE("an exception in the handler returns 500, and later requests are served") {
   const HttpServer server({0x7f000001, 0}, [](const HttpRequest& request) -> HttpResponse {
     if (request.path == "/broken") {
-      throw std::runtime_error("a fault of the handler");
+      throw std::runtime_error("handler failed");
     }
     return HttpResponse();
   });
@@ -235,7 +239,7 @@
   }
 }
 
-TEST_CASE("a server that is told to use HTTPS never serves plain HTTP") {
+TEST_CASE("an HTTPS server without a readable certificate does not start") {
   HttpServerSecurity security;
   security.certificate_file = "missing.pem";
   CHECK_THROWS_AS(HttpServer(
@@ -243,15 +247,15 @@
                   std::runtime_error);
 }
 
-TEST_CASE("no answer of the API holds a token secret") {
+TEST_CASE("API responses contain no token secrets") {
   ApiFixture fixture;
   fixture.node.onPlatformConfiguration(radioDocument().dump());
   for (const char* target : {"/v1/configuration", "/v1/status", "/v1/backends", "/v1/nodes"}) {
-    CHECK(fixture.ask("GET", target).body.find("5ca1ab1e") == std::string::npos);
+    CHECK(fixture.sendRequest("GET", target).body.find("5ca1ab1e") == std::string::npos);
   }
 }
 
-TEST_CASE("an address that is in use is refused with its name") {
+TEST_CASE("the error for an address in use contains the address") {
   const auto handler = [](const HttpRequest&) { return HttpResponse(); };
   const HttpServer first({0x7f000001, 0}, handler);
   const Endpoint taken = first.localAddress();
--- a/tests/runtime/json_log_line_test.cc
+++ b/tests/runtime/json_log_line_test.cc
@@ -15,10 +15,10 @@
   return SystemTime(milliseconds(unix_ms));
 }
 
-/** What a JSON document of the same fields dumps to. */
-std::string dumped(const std::string& time, const std::string& level, const std::string& component,
-                   const std::string& event, std::initializer_list<LogField> fields,
-                   std::uint64_t left_out) {
+/** @return the line as serialised from a JSON document of the same fields. */
+std::string expectedLine(const std::string& time, const std::string& level,
+                         const std::string& component, const std::string& event,
+                         std::initializer_list<LogField> fields, std::uint64_t lines_dropped) {
   nlohmann::ordered_json line;
   line["time"] = time;
   line["level"] = level;
@@ -30,13 +30,13 @@
   for (const LogField& field : fields) {
     std::visit([&](const auto& value) { line[std::string(field.name)] = value; }, field.value);
   }
-  if (left_out > 0) {
-    line["lines_left_out_before"] = left_out;
+  if (lines_dropped > 0) {
+    line["lines_left_out_before"] = lines_dropped;
   }
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
 }
 
-TEST_CASE("a line is the same, byte for byte, as its JSON document", "[log]") {
+TEST_CASE("a log line equals its serialised JSON document byte for byte", "[log]") {
   const std::initializer_list<LogField> fields = {
       {"text", "plain"},
       {"empty", ""},
@@ -57,12 +57,12 @@
       {"no", false}};
   JsonLogLine line(kOrigin);
   CHECK(line.build(atMilliseconds(1767323045678), {LogLevel::Warn, "flow", "event", fields, 0}) ==
-        dumped("2026-01-02T03:04:05.678Z", "warn", "flow", "event", fields, 0));
+        expectedLine("2026-01-02T03:04:05.678Z", "warn", "flow", "event", fields, 0));
   CHECK(line.build(atMilliseconds(1767323045679), {LogLevel::Error, "fl\"ow", "e\nv", {}, 17}) ==
-        dumped("2026-01-02T03:04:05.679Z", "error", "fl\"ow", "e\nv", {}, 17));
+        expectedLine("2026-01-02T03:04:05.679Z", "error", "fl\"ow", "e\nv", {}, 17));
 }
 
-TEST_CASE("the timestamp follows a clock that goes on, jumps ahead and jumps back", "[log]") {
+TEST_CASE("the timestamp is correct when the clock advances, jumps ahead or jumps back", "[log]") {
   JsonLogLine line(kOrigin);
   const auto time_of = [&](std::int64_t unix_ms) {
     const auto parsed =
@@ -79,7 +79,7 @@
   CHECK(time_of(1709251200000) == "2024-03-01T00:00:00.000Z");
 }
 
-TEST_CASE("each level has its name", "[log]") {
+TEST_CASE("log levels are written by name", "[log]") {
   JsonLogLine line(kOrigin);
   const auto level_of = [&](LogLevel level) {
     const auto parsed = nlohmann::json::parse(line.build(atMilliseconds(0), {level, "c", "e", {}}));
--- a/tests/runtime/peer_security_test.cc
+++ b/tests/runtime/peer_security_test.cc
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr auto kStep = std::chrono::milliseconds(20);
-/** Longest wait for something that must come. */
-constexpr auto kLimit = std::chrono::seconds(20);
+/** Longest wait for an expected event. */
+constexpr auto kTimeout = std::chrono::seconds(20);
 
-PeerSecuritySettings freshFleet() {
+PeerSecuritySettings makeFleetKeys() {
   const PeerKeyPair pair = makePeerKeyPair();
   return {pair.public_key, pair.secret_key, {}};
 }
 
-/** A receiving node, and a sending node with keys of its own. */
+/** A receiving and a sending peer, each with its own key settings. */
 class TwoPeers {
  public:
   TwoPeers(const PeerSecuritySettings& receiver, const PeerSecuritySettings& sender)
@@ -27,21 +27,21 @@
         sender_(io_context_, freePort(sender_address_, 2), sender,
                 [](Endpoint, const PeerMessage&) {}) {}
 
-  /** Sends and runs both until something came or was refused. */
+  /** Sends repeatedly until a message is received or a connection is rejected. */
   void run() {
-    const auto limit = std::chrono::steady_clock::now() + kLimit;
-    while (received == 0 && refused() == 0 && std::chrono::steady_clock::now() < limit) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (received == 0 && rejected() == 0 && std::chrono::steady_clock::now() < deadline) {
       sender_.send(receiver_address_, MembersRequest{});
       io_context_.run_for(kStep);
     }
   }
 
-  std::uint64_t refused() const { return receiver_.refusedPeers(); }
+  std::uint64_t rejected() const { return receiver_.rejectedPeers(); }
 
   int received = 0;
 
  private:
-  /** Takes a loopback address of this process alone, so that runs do not collide. */
+  /** Selects a loopback address by process id, so that concurrent test runs do not conflict. */
   static Endpoint freePort(Endpoint& address, std::uint16_t offset) {
     const auto process = static_cast<std::uint32_t>(::getpid());
     const std::uint32_t host = 0x7f010000 + process % 65000 + 1;
@@ -56,9 +56,9 @@
   PeerTransport sender_;
 };
 
-TEST_CASE("only a peer with a key of the fleet gets its messages through") {
-  const PeerSecuritySettings fleet = freshFleet();
-  const PeerSecuritySettings stranger = freshFleet();
+TEST_CASE("only messages of peers with the keys of the fleet are received") {
+  const PeerSecuritySettings fleet = makeFleetKeys();
+  const PeerSecuritySettings other_fleet = makeFleetKeys();
   struct Row {
     const char* name;
     PeerSecuritySettings receiver;
@@ -68,7 +68,7 @@
   const Row rows[] = {
       {"no keys on either side", {}, {}, true},
       {"keys of the fleet on both", fleet, fleet, true},
-      {"keys of another fleet", fleet, stranger, false},
+      {"keys of another fleet", fleet, other_fleet, false},
       {"no encryption", fleet, {}, false},
   };
   for (const Row& row : rows) {
@@ -76,19 +76,19 @@
     TwoPeers peers(row.receiver, row.sender);
     peers.run();
     CHECK((peers.received > 0) == row.accepted);
-    CHECK((peers.refused() > 0) == !row.accepted);
+    CHECK((peers.rejected() > 0) == !row.accepted);
   }
 }
 
-TEST_CASE("a peer that knows the fleet's public key alone is not let in unless it is listed") {
-  const PeerSecuritySettings fleet = freshFleet();
-  const PeerKeyPair guest = makePeerKeyPair();
+TEST_CASE("a peer with its own key pair is rejected unless its public key is listed") {
+  const PeerSecuritySettings fleet = makeFleetKeys();
+  const PeerKeyPair client_keys = makePeerKeyPair();
   struct Row {
     const char* name;
     std::vector<std::string> allowed;
     bool accepted;
   };
-  const Row rows[] = {{"unlisted", {}, false}, {"listed", {guest.public_key}, true}};
+  const Row rows[] = {{"unlisted", {}, false}, {"listed", {client_keys.public_key}, true}};
   for (const Row& row : rows) {
     INFO(row.name);
     boost::asio::io_context io_context;
@@ -96,28 +96,29 @@
     zmq::socket_t listener(context, zmq::socket_type::router);
     PeerSecuritySettings settings = fleet;
     settings.allowed_keys = row.allowed;
-    const PeerGate gate(io_context, context, listener, settings);
+    const PeerAuthenticator authenticator(io_context, context, listener, settings);
     listener.bind("tcp://127.0.0.1:*");
     int received = 0;
     const ZmqReader reader(io_context, listener, [&](const ZmqReader::Frames&) { ++received; });
     zmq::socket_t client(context, zmq::socket_type::dealer);
     client.set(zmq::sockopt::linger, 0);
     client.set(zmq::sockopt::curve_serverkey, fleet.public_key);
-    client.set(zmq::sockopt::curve_publickey, guest.public_key);
-    client.set(zmq::sockopt::curve_secretkey, guest.secret_key);
+    client.set(zmq::sockopt::curve_publickey, client_keys.public_key);
+    client.set(zmq::sockopt::curve_secretkey, client_keys.secret_key);
     client.connect(listener.get(zmq::sockopt::last_endpoint));
     client.send(zmq::str_buffer("hello"), zmq::send_flags::dontwait);
-    const auto limit = std::chrono::steady_clock::now() + kLimit;
-    while (received == 0 && gate.refused() == 0 && std::chrono::steady_clock::now() < limit) {
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    while (received == 0 && authenticator.rejected() == 0 &&
+           std::chrono::steady_clock::now() < deadline) {
       io_context.run_for(kStep);
     }
     CHECK((received > 0) == row.accepted);
-    CHECK((gate.refused() > 0) == !row.accepted);
+    CHECK((authenticator.rejected() > 0) == !row.accepted);
   }
 }
 
-TEST_CASE("wrong key settings are named") {
-  const PeerSecuritySettings fleet = freshFleet();
+TEST_CASE("the error for invalid key settings contains the setting") {
+  const PeerSecuritySettings fleet = makeFleetKeys();
   struct Row {
     const char* name;
     PeerSecuritySettings settings;
@@ -129,7 +130,7 @@
       {"public key alone", {fleet.public_key, "", {}}, "peer-secret-key"},
       {"secret key alone", {"", fleet.secret_key, {}}, "peer-public-key"},
       {"short secret", {fleet.public_key, "abc", {}}, "peer-secret-key"},
-      {"foreign public key", {freshFleet().public_key, fleet.secret_key, {}}, "peer-public-key"},
+      {"foreign public key", {makeFleetKeys().public_key, fleet.secret_key, {}}, "peer-public-key"},
       {"wrong listed key", {fleet.public_key, fleet.secret_key, {"abc"}}, "peer-allowed-key"},
       {"listed key without a pair", {"", "", {fleet.public_key}}, "peer-allowed-key"},
   };
