--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,7 @@
 # make soak SEEDS=A..B: random storms of both users in the simulator; fails on a broken promise.
 # make soak-processes SECONDS=60 SEED=1 [NODES=6] [PLAN=soak_cuts]: real balancers on loopback under
 # random faults, or under cuts of zones beside slow processors, silent servers and releases.
+# SOAK_SECOND_PROGRAM=path of another build's lugfork-packetd: every second balancer runs that one.
 .PHONY: demo test soak soak-processes build packages format format-check lint clean
 
 build: packages
@@ -27,7 +28,8 @@
 SEED ?= 1
 PLAN ?= soak
 soak-processes: build
-	SOAK_SECONDS=$(SECONDS) SOAK_SEED=$(SEED) SOAK_NODES=$(NODES) build/soak_tests "[$(PLAN)]"
+	SOAK_SECONDS=$(SECONDS) SOAK_SEED=$(SEED) SOAK_NODES=$(NODES) \
+	  SOAK_SECOND_PROGRAM=$(SOAK_SECOND_PROGRAM) build/soak_tests "[$(PLAN)]"
 
 format:
 	git ls-files '*.cc' '*.h' | xargs clang-format -i
--- a/tests/platform/soak/node_fleet.h
+++ b/tests/platform/soak/node_fleet.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <atomic>
+#include <cstdlib>
 #include <list>
 #include <set>
 #include <thread>
@@ -33,6 +34,9 @@
       node.zone = peers.zone;
       zone_cut.addBalancer(address, peers.zone);
       node.process = std::make_unique<platform::Packetd>(store, seeds, peers);
+      if (const std::string program = secondProgram(); index % 2 == 1 && !program.empty()) {
+        node.process->setProgram(program);
+      }
       if (seeds.size() < kSeeds) {
         seeds.push_back(node.process->controlAddress());
       }
@@ -200,6 +204,12 @@
     return node.signals_before_it_began.contains(-exit_code);
   }
 
+  /** @return path of another build's lugfork-packetd; empty where all balancers run this build. */
+  static std::string secondProgram() {
+    const char* path = std::getenv("SOAK_SECOND_PROGRAM");
+    return path == nullptr ? "" : path;
+  }
+
   static void start(Node& node) {
     node.signals_before_it_began.clear();
     node.process->start();
--- a/tests/platform/soak/packetd_soak.cc
+++ b/tests/platform/soak/packetd_soak.cc
@@ -2,6 +2,9 @@
  * Real balancers on loopback under random faults. The short run of one seed is a test of its own;
  * make soak-processes plays further seeds, for SECONDS, from SEED on, with 6, 12 and 24 balancers
  * by turns, or NODES; with PLAN=soak_cuts cuts of zones instead of single faults.
+ *
+ * If SOAK_SECOND_PROGRAM holds the path of another build's lugfork-packetd, every second balancer
+ * (odd index) runs that program, so that two builds run side by side.
  */
 
 #include <algorithm>
