--- a/tests/platform/soak/call_schedule.h
+++ b/tests/platform/soak/call_schedule.h
@@ -7,7 +7,7 @@
 
 namespace lugfork::soak {
 
-/** Calls of functions at times to come, on the thread that runs the soak. */
+/** Runs functions at scheduled times, on the thread that runs the soak. */
 class CallSchedule {
  public:
   void at(SoakTime time, std::function<void()> function) {
@@ -17,7 +17,7 @@
     at(SoakClock::now() + delay, std::move(function));
   }
 
-  /** Makes the calls whose time has come. */
+  /** Runs the functions that are due. */
   void runDue(SoakTime now) {
     while (!calls_.empty() && calls_.begin()->first <= now) {
       const auto function = std::move(calls_.begin()->second);
--- a/tests/platform/soak/slow_processor.h
+++ b/tests/platform/soak/cpu_limiter.h
@@ -11,33 +11,33 @@
 namespace lugfork::soak {
 
 /**
- * Stand-in of a small machine: the processes that are slow run for 3 ms in 100 ms, each in turn,
- * and stand still otherwise, as under a quota of 0.03 cores whose period is 100 ms.
+ * Emulates a CPU quota of 0.03 cores with a period of 100 ms: each limited process in turn runs
+ * for 3 ms per period and is stopped for the rest of it.
  */
-class SlowProcessor {
+class CpuLimiter {
  public:
-  SlowProcessor() : thread_([this] { runInTurn(); }) {}
-  ~SlowProcessor() {
+  CpuLimiter() : thread_([this] { runInTurn(); }) {}
+  ~CpuLimiter() {
     ended_ = true;
     thread_.join();
   }
-  SlowProcessor(const SlowProcessor&) = delete;
-  SlowProcessor& operator=(const SlowProcessor&) = delete;
+  CpuLimiter(const CpuLimiter&) = delete;
+  CpuLimiter& operator=(const CpuLimiter&) = delete;
 
-  /** Also where the process ends and is started again. */
-  void slowDown(platform::Packetd& process) {
+  /** The limit also holds after a restart of the process. */
+  void limitCpu(platform::Packetd& process) {
     const std::lock_guard lock(mutex_);
-    slow_.push_back(&process);
+    limited_.push_back(&process);
   }
 
-  void setFree(platform::Packetd& process) {
+  void removeLimit(platform::Packetd& process) {
     const std::lock_guard lock(mutex_);
-    slow_.remove(&process);
+    limited_.remove(&process);
     process.signal(SIGCONT);
   }
 
  private:
-  static constexpr std::chrono::milliseconds kRuns{3};
+  static constexpr std::chrono::milliseconds kRunTime{3};
   static constexpr std::chrono::milliseconds kPeriod{100};
 
   void runInTurn() {
@@ -49,22 +49,22 @@
     }
   }
 
-  /** @return whether there is one with that number. */
+  /** @return false if there is no limited process with that index. */
   bool runNext(std::size_t turn) {
     const std::lock_guard lock(mutex_);
-    if (turn >= slow_.size()) {
+    if (turn >= limited_.size()) {
       return false;
     }
     const platform::Packetd& process =
-        **std::next(slow_.begin(), static_cast<std::ptrdiff_t>(turn));
+        **std::next(limited_.begin(), static_cast<std::ptrdiff_t>(turn));
     process.signal(SIGCONT);
-    std::this_thread::sleep_for(kRuns);
+    std::this_thread::sleep_for(kRunTime);
     process.signal(SIGSTOP);
     return true;
   }
 
   std::mutex mutex_;
-  std::list<platform::Packetd*> slow_;
+  std::list<platform::Packetd*> limited_;
   std::atomic<bool> ended_ = false;
   std::thread thread_;
 };
--- a/tests/platform/soak/early_signal_test.cc
+++ b/tests/platform/soak/early_signal_test.cc
@@ -1,4 +1,4 @@
-/** Signals in the first milliseconds of a balancer's start, before its handlers stand. */
+/** Signals in the first milliseconds of a balancer's start, before its handlers are installed. */
 
 #include <sys/stat.h>
 
@@ -13,13 +13,14 @@
 using platform::Packetd;
 
 constexpr std::size_t kRounds = 6;
-constexpr std::size_t kBalancersOfRound = 12;
-/** Signals of a round come so much later after the start, each than the one before. */
-constexpr std::chrono::microseconds kStep{750};
+constexpr std::size_t kBalancersPerRound = 12;
+/** Each balancer of a round gets its signal this much later after its start than the previous one.
+ */
+constexpr std::chrono::microseconds kSignalDelayStep{750};
 
 /**
- * A pipe in the place of a balancer's settings file, which it gets as flags instead: the program
- * waits in it, and reads nothing there once the test lets it pass.
+ * A pipe in place of a balancer's settings file; the settings are passed as flags instead. The
+ * program blocks on the pipe until the test closes it, and then reads an empty file.
  */
 class SettingsPipe {
  public:
@@ -31,13 +32,13 @@
     std::remove(path_.c_str());
     REQUIRE(::mkfifo(path_.c_str(), S_IRUSR | S_IWUSR) == 0);
   }
-  ~SettingsPipe() { letPass(); }
+  ~SettingsPipe() { unblock(); }
   SettingsPipe(const SettingsPipe&) = delete;
   SettingsPipe& operator=(const SettingsPipe&) = delete;
 
   const std::vector<std::string>& flags() const { return flags_; }
 
-  /** Returns once the program reads; whoever reads the path later finds an empty file. */
+  /** Waits until the program opens the pipe; later readers of the path find an empty file. */
   bool waitForReader() {
     const bool is_read = Packetd::eventually([&] {
       pipe_ = ::open(path_.c_str(), O_WRONLY | O_NONBLOCK);
@@ -48,14 +49,14 @@
     return is_read;
   }
 
-  void letPass() {
+  void unblock() {
     if (pipe_ >= 0) {
       ::close(std::exchange(pipe_, -1));
     }
   }
 
  private:
-  /** Takes a line like: key = "value" */
+  /** Adds a flag for a line such as: key = "value" */
   void addFlag(const std::string& line) {
     const std::size_t equals = line.find(" = ");
     std::string value = line.substr(equals + 3);
@@ -74,7 +75,7 @@
   return daemon.log().find("\"event\":\"" + event + "\"") != std::string::npos;
 }
 
-TEST_CASE("soak seed 7204: a signal that comes before a balancer's handlers stand is handled later",
+TEST_CASE("soak seed 7204: signal sent before the handlers are installed is handled once they are",
           "[early_signals]") {
   platform::FakeStore store;
   store.put("op/config", R"({"version":1,"routes":[]})");
@@ -82,17 +83,17 @@
   SettingsPipe settings(daemon.settingsFile());
   daemon.start(settings.flags());
   REQUIRE(settings.waitForReader());
-  SECTION("a stop") {
+  SECTION("stop signal ends the balancer in order") {
     const int number = GENERATE(SIGTERM, SIGINT);
     daemon.signal(number);
-    settings.letPass();
+    settings.unblock();
     CHECK(daemon.wait() == 0);
     CHECK(hasEvent(daemon, "leaving"));
     CHECK(hasEvent(daemon, "stopped"));
   }
-  SECTION("a reload, then a stop") {
+  SECTION("reload, then stop signal reloads and ends the balancer") {
     daemon.signal(SIGHUP);
-    settings.letPass();
+    settings.unblock();
     CHECK(daemon.waitForReady(200));
     CHECK(Packetd::eventually([&] { return hasEvent(daemon, "reloaded"); }));
     daemon.signal(SIGTERM);
@@ -100,55 +101,55 @@
   }
 }
 
-/** A balancer that got a signal soon after its start. */
-struct Signalled {
-  explicit Signalled(Endpoint store) : daemon(store) {}
+/** A balancer that gets a signal soon after its start. */
+struct SignalledBalancer {
+  explicit SignalledBalancer(Endpoint store) : daemon(store) {}
   Packetd daemon;
   int number = 0;
-  bool had_begun = false;
+  bool program_started = false;
 };
 
 /** @return the exit code, or minus the number of the signal that ended the balancer. */
-int endOf(Signalled& balancer) {
+int waitForExit(SignalledBalancer& balancer) {
   if (balancer.number == SIGHUP) {
-    // Where SIGHUP has ended it, the second signal goes to nobody.
+    // If SIGHUP has ended the process, the second signal has no receiver.
     CHECK(Packetd::eventually([&] { return balancer.daemon.blocksOrHandles(SIGTERM); }));
     balancer.daemon.signal(SIGTERM);
   }
   return balancer.daemon.wait();
 }
 
-/** @return whether the end is one that the promise of planned stops allows. */
-bool isAllowed(int exit_code, const Signalled& balancer) {
+/** @return whether the promise on planned stops allows this end. */
+bool isAllowed(int exit_code, const SignalledBalancer& balancer) {
   const bool by_first_signal = exit_code == -balancer.number;
-  return exit_code == 0 || (by_first_signal && !balancer.had_begun);
+  return exit_code == 0 || (by_first_signal && !balancer.program_started);
 }
 
-TEST_CASE("a signal in the first milliseconds of a start ends no program that has begun",
+TEST_CASE("signal in the first milliseconds of a start ends no program that has started",
           "[early_signals]") {
   platform::FakeStore store;
   store.put("op/config", R"({"version":1,"routes":[]})");
-  std::size_t before_the_program = 0;
+  std::size_t before_program_start = 0;
   for (std::size_t round = 0; round < kRounds; ++round) {
-    std::list<Signalled> balancers;
-    for (std::size_t index = 0; index < kBalancersOfRound; ++index) {
-      Signalled& balancer = balancers.emplace_back(store.address());
+    std::list<SignalledBalancer> balancers;
+    for (std::size_t index = 0; index < kBalancersPerRound; ++index) {
+      SignalledBalancer& balancer = balancers.emplace_back(store.address());
       balancer.number = std::array{SIGTERM, SIGHUP, SIGINT}[(round + index) % 3];
       balancer.daemon.start();
-      std::this_thread::sleep_for(kStep * index);
-      balancer.had_begun = balancer.daemon.blocksOrHandles(balancer.number);
+      std::this_thread::sleep_for(kSignalDelayStep * index);
+      balancer.program_started = balancer.daemon.blocksOrHandles(balancer.number);
       balancer.daemon.signal(balancer.number);
-      before_the_program += balancer.had_begun ? 0 : 1;
+      before_program_start += balancer.program_started ? 0 : 1;
     }
-    for (Signalled& balancer : balancers) {
-      CAPTURE(round, balancer.number, balancer.had_begun);
-      const int exit_code = endOf(balancer);
+    for (SignalledBalancer& balancer : balancers) {
+      CAPTURE(round, balancer.number, balancer.program_started);
+      const int exit_code = waitForExit(balancer);
       CAPTURE(exit_code, balancer.daemon.log());
       CHECK(isAllowed(exit_code, balancer));
     }
   }
-  std::printf("%zu of %zu signals came before the program's first line\n", before_the_program,
-              kRounds * kBalancersOfRound);
+  std::printf("%zu of %zu signals were sent before the program started\n", before_program_start,
+              kRounds * kBalancersPerRound);
 }
 
 }  // namespace
--- a/tests/platform/soak/fault_plan.cc
+++ b/tests/platform/soak/fault_plan.cc
@@ -11,24 +11,24 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t kMostTogether = 3;
-constexpr std::uint64_t kShortestPauseMs = 1500;
+constexpr std::uint64_t kMaxConcurrentFaults = 3;
+constexpr std::uint64_t kMinPauseMs = 1500;
 constexpr std::uint64_t kPauseSpreadMs = 8000;
-constexpr std::uint64_t kShortestFaultMs = 300;
+constexpr std::uint64_t kMinFaultMs = 300;
 constexpr std::uint64_t kFaultSpreadMs = 4000;
-constexpr std::uint64_t kTogetherSpreadMs = 400;
-constexpr std::uint64_t kTargets = 1000;
-/** One group in so many begins before the end of the one before it. */
-constexpr std::uint64_t kGroupsToOverlap = 4;
-constexpr std::uint64_t kShortestCutMs = 4500;
-constexpr std::uint64_t kCutSpreadMs = 2000;
-/** Servers fall silent and are released this early in a cut. */
-constexpr std::uint64_t kEarlyInCutMs = 1200;
-constexpr std::uint64_t kMostSilent = 2;
-/** Slow processors are so before a cut and after it. */
-constexpr milliseconds kSlowBesideCut{1500};
-/** Bounds in time are judged again in the pause after a cut. */
-constexpr milliseconds kPauseAfterCut{8000};
+constexpr std::uint64_t kStartSpreadMs = 400;
+constexpr std::uint64_t kTargetCount = 1000;
+/** One group in this many starts before the end of the previous one. */
+constexpr std::uint64_t kGroupsPerOverlap = 4;
+constexpr std::uint64_t kMinPartitionMs = 4500;
+constexpr std::uint64_t kPartitionSpreadMs = 2000;
+/** Backends become silent and are replaced within this time of a partition's start. */
+constexpr std::uint64_t kEarlyPartitionMs = 1200;
+constexpr std::uint64_t kMaxSilentBackends = 2;
+/** The CPU limit starts this long before a partition and ends this long after it. */
+constexpr milliseconds kCpuLimitMargin{1500};
+/** Time bounds are checked again in the pause after a partition. */
+constexpr milliseconds kPauseAfterPartition{8000};
 
 }  // namespace
 
@@ -48,35 +48,35 @@
       return "store_unavailable";
     case FaultKind::StoreThrottled:
       return "store_throttled";
-    case FaultKind::StoreCutsAnswers:
+    case FaultKind::StoreTruncatesResponses:
       return "store_cuts_answers";
-    case FaultKind::StoreForgets:
+    case FaultKind::StoreCompactsHistory:
       return "store_forgets";
-    case FaultKind::StoreLosesEntries:
+    case FaultKind::StoreLosesItems:
       return "store_loses_entries";
-    case FaultKind::CrashServer:
+    case FaultKind::CrashBackend:
       return "crash_server";
-    case FaultKind::PauseServer:
+    case FaultKind::PauseBackend:
       return "pause_server";
-    case FaultKind::ReplaceServer:
+    case FaultKind::ReplaceBackend:
       return "replace_server";
     case FaultKind::MoveRoute:
       return "move_route";
-    case FaultKind::LosePackets:
+    case FaultKind::DropPackets:
       return "lose_packets";
-    case FaultKind::DisorderPackets:
+    case FaultKind::ReorderPackets:
       return "disorder_packets";
-    case FaultKind::RollNodes:
+    case FaultKind::StopNodesInSeries:
       return "roll_nodes";
     case FaultKind::SignalNode:
       return "signal_node";
-    case FaultKind::ReleaseServers:
+    case FaultKind::ReplaceBackends:
       return "release_servers";
     case FaultKind::MoveRoutes:
       return "move_routes";
-    case FaultKind::CutZone:
+    case FaultKind::IsolateZone:
       return "cut_zone";
-    case FaultKind::SlowNodes:
+    case FaultKind::LimitNodesCpu:
       return "slow_nodes";
   }
   return "unknown";
@@ -88,53 +88,53 @@
     return static_cast<std::uint32_t>(random->below(bound));
   };
   std::vector<Fault> faults;
-  milliseconds at{kShortestPauseMs};
+  milliseconds at{kMinPauseMs};
   while (at < length) {
     milliseconds end = at;
-    const std::uint32_t together = 1 + below(kMostTogether);
+    const std::uint32_t together = 1 + below(kMaxConcurrentFaults);
     for (std::uint32_t count = 0; count < together; ++count) {
       Fault fault;
       fault.kind = static_cast<FaultKind>(below(static_cast<std::uint64_t>(FaultKind::Last) + 1));
-      fault.at = at + milliseconds(below(kTogetherSpreadMs));
-      fault.duration = milliseconds(kShortestFaultMs + below(kFaultSpreadMs));
-      fault.target = below(kTargets);
+      fault.at = at + milliseconds(below(kStartSpreadMs));
+      fault.duration = milliseconds(kMinFaultMs + below(kFaultSpreadMs));
+      fault.target = below(kTargetCount);
       end = std::max(end, fault.at + fault.duration);
       faults.push_back(fault);
     }
-    const bool next_overlaps = below(kGroupsToOverlap) == 0;
-    at = next_overlaps ? at + milliseconds(kShortestFaultMs + below(kTogetherSpreadMs))
-                       : end + milliseconds(kShortestPauseMs + below(kPauseSpreadMs));
+    const bool next_overlaps = below(kGroupsPerOverlap) == 0;
+    at = next_overlaps ? at + milliseconds(kMinFaultMs + below(kStartSpreadMs))
+                       : end + milliseconds(kMinPauseMs + below(kPauseSpreadMs));
   }
   std::stable_sort(faults.begin(), faults.end(),
                    [](const Fault& left, const Fault& right) { return left.at < right.at; });
   return faults;
 }
 
-std::vector<Fault> drawZoneFaults(std::uint64_t seed, milliseconds length) {
+std::vector<Fault> drawPartitionFaults(std::uint64_t seed, milliseconds length) {
   const std::unique_ptr<RandomGenerator> random = makeSeededRandom(seed);
   std::vector<Fault> faults;
   const auto add = [&](FaultKind kind, milliseconds at, milliseconds duration) {
-    faults.push_back({kind, at, duration, static_cast<std::uint32_t>(random->below(kTargets))});
+    faults.push_back({kind, at, duration, static_cast<std::uint32_t>(random->below(kTargetCount))});
   };
-  const auto early = [&] { return milliseconds(random->below(kEarlyInCutMs)); };
-  milliseconds at{kShortestPauseMs};
+  const auto early = [&] { return milliseconds(random->below(kEarlyPartitionMs)); };
+  milliseconds at{kMinPauseMs};
   while (true) {
-    const milliseconds cut(kShortestCutMs + random->below(kCutSpreadMs));
-    const milliseconds group = cut + 2 * kSlowBesideCut;
+    const milliseconds partition(kMinPartitionMs + random->below(kPartitionSpreadMs));
+    const milliseconds group = partition + 2 * kCpuLimitMargin;
     if (at + group > length) {
       break;
     }
-    const milliseconds cut_at = at + kSlowBesideCut;
-    add(FaultKind::SlowNodes, at, group);
-    add(FaultKind::CutZone, cut_at, cut);
-    for (std::uint64_t count = random->below(kMostSilent) + 1; count > 0; --count) {
-      add(FaultKind::CrashServer, cut_at + early(), cut);
+    const milliseconds partition_at = at + kCpuLimitMargin;
+    add(FaultKind::LimitNodesCpu, at, group);
+    add(FaultKind::IsolateZone, partition_at, partition);
+    for (std::uint64_t count = random->below(kMaxSilentBackends) + 1; count > 0; --count) {
+      add(FaultKind::CrashBackend, partition_at + early(), partition);
     }
-    add(FaultKind::ReleaseServers, cut_at + early(), milliseconds(0));
+    add(FaultKind::ReplaceBackends, partition_at + early(), milliseconds(0));
     if (random->below(2) == 0) {
-      add(FaultKind::StopNode, cut_at + early(), milliseconds(0));
+      add(FaultKind::StopNode, partition_at + early(), milliseconds(0));
     }
-    at += group + kPauseAfterCut;
+    at += group + kPauseAfterPartition;
   }
   std::stable_sort(faults.begin(), faults.end(),
                    [](const Fault& left, const Fault& right) { return left.at < right.at; });
--- a/tests/platform/soak/fault_plan.h
+++ b/tests/platform/soak/fault_plan.h
@@ -15,25 +15,26 @@
   ReloadNode,
   StoreUnavailable,
   StoreThrottled,
-  StoreCutsAnswers,
-  StoreForgets,
-  StoreLosesEntries,
-  CrashServer,
-  PauseServer,
-  ReplaceServer,
+  StoreTruncatesResponses,
+  StoreCompactsHistory,
+  StoreLosesItems,
+  CrashBackend,
+  PauseBackend,
+  ReplaceBackend,
   MoveRoute,
-  LosePackets,
-  /** Clients' packets come late, twice and out of order. */
-  DisorderPackets,
-  /** In series, each before the one before it is over. */
-  RollNodes,
+  DropPackets,
+  /** Clients' packets are delayed, duplicated and reordered. */
+  ReorderPackets,
+  /** Series of changes, each started before the previous one has completed. */
+  StopNodesInSeries,
   SignalNode,
-  ReleaseServers,
+  ReplaceBackends,
   MoveRoutes,
   Last = MoveRoutes,
-  /** Of plans with zones only, so that the other plans of a seed stay as they are. */
-  CutZone,
-  SlowNodes,
+  /** Only in plans with partitions of zones; listed after Last so that the other plans of a
+   * seed don't change. */
+  IsolateZone,
+  LimitNodesCpu,
 };
 
 /** Stable name of a kind of fault, for reports. */
@@ -42,26 +43,27 @@
 /** One fault of a run. */
 struct Fault {
   FaultKind kind = FaultKind::KillNode;
-  /** Time from the run's start. */
+  /** Time since the start of the run. */
   std::chrono::milliseconds at{};
   std::chrono::milliseconds duration{};
-  /** Which node or server, as a number that is taken modulo how many there are. */
+  /** Number of the node or backend, taken modulo their count. */
   std::uint32_t target = 0;
 };
 
 /**
- * Draws the faults of a run: one to three together, most groups with pauses after them in which
- * bounds in time can be judged; one group in four begins while the one before it still lasts.
- * @return the same faults for the same seed and length, in the order of their times.
+ * Draws the faults of a run: groups of one to three concurrent faults. Most groups are followed by
+ * a pause in which time bounds are checked; one group in four starts while the previous one still
+ * lasts.
+ * @return the same faults for the same seed and length, ordered by start time.
  */
 std::vector<Fault> drawFaults(std::uint64_t seed, std::chrono::milliseconds length);
 
 /**
- * Draws faults in which much comes together: most balancers' processors turn slow, then a zone is
- * cut off, and meanwhile servers fall silent for good, others are released, and balancers stop.
- * @return the same faults for the same seed and length, in the order of their times; none lasts
+ * Draws combined faults: the CPU of most balancers is limited, then a zone is partitioned, and
+ * meanwhile backends become silent permanently, others are replaced, and balancers stop.
+ * @return the same faults for the same seed and length, ordered by start time; none lasts
  * beyond the length.
  */
-std::vector<Fault> drawZoneFaults(std::uint64_t seed, std::chrono::milliseconds length);
+std::vector<Fault> drawPartitionFaults(std::uint64_t seed, std::chrono::milliseconds length);
 
 }  // namespace lugfork::soak
--- a/tests/platform/soak/link_faults.h
+++ b/tests/platform/soak/link_faults.h
@@ -2,11 +2,11 @@
 
 namespace lugfork::soak {
 
-/** What happens to clients' packets on their way to balancers. */
+/** Faults of the links from clients to balancers. */
 struct LinkFaults {
-  bool loses = false;
-  /** Packets come late, twice and out of order. */
-  bool disorders = false;
+  bool drops = false;
+  /** Packets are delayed, duplicated and reordered. */
+  bool reorders = false;
 };
 
 }  // namespace lugfork::soak
--- a/tests/platform/soak/node_fleet.h
+++ b/tests/platform/soak/node_fleet.h
@@ -7,22 +7,22 @@
 #include <thread>
 
 #include "platform/packetd_fixture.h"
+#include "platform/soak/cpu_limiter.h"
 #include "platform/soak/open_connection.h"
 #include "platform/soak/promise_monitor.h"
-#include "platform/soak/slow_processor.h"
-#include "platform/soak/zone_cut.h"
+#include "platform/soak/zone_partition.h"
 
 namespace lugfork::soak {
 
-/** The balancers of a soak as processes; ends only those that it started. */
+/** The balancer processes of a soak. Ends only processes that it started. */
 class NodeFleet {
  public:
   /**
-   * Starts the balancers, each at an address of its own.
-   * @param packet_port of all of them, the number of the clients' port.
+   * Starts the balancers, each at a separate address.
+   * @param packet_port port of all balancers for packets, the same number as the clients' port.
    */
   NodeFleet(std::size_t count, const std::vector<std::string>& zones, std::uint16_t packet_port,
-            Endpoint store, ZoneCut& zone_cut, PromiseMonitor& monitor)
+            Endpoint store, ZonePartition& zone_partition, PromiseMonitor& monitor)
       : monitor_(monitor) {
     std::vector<Endpoint> seeds;
     for (std::size_t index = 0; index < count; ++index) {
@@ -32,12 +32,12 @@
                                                   Endpoint{address, packet_port},
                                                   zones[index % zones.size()]};
       node.zone = peers.zone;
-      zone_cut.addBalancer(address, peers.zone);
+      zone_partition.addBalancer(address, peers.zone);
       node.process = std::make_unique<platform::Packetd>(store, seeds, peers);
       if (const std::string program = secondProgram(); index % 2 == 1 && !program.empty()) {
         node.process->setProgram(program);
       }
-      if (seeds.size() < kSeeds) {
+      if (seeds.size() < kMaxSeeds) {
         seeds.push_back(node.process->controlAddress());
       }
       start(node);
@@ -58,16 +58,17 @@
   bool allReady() { return ready("").size() == nodes_.size(); }
 
   /**
-   * @param flow a number of the packet's flow; the flow keeps its balancer while `holds`.
-   * @param holds the router has not noticed yet that a balancer stops: the flow's packets go there
-   * until its process is gone.
-   * @param zone of the client; empty where all balancers are its own.
-   * @return where the packet goes; nothing where no balancer is ready.
+   * @param flow number of the packet's flow.
+   * @param keeps_balancer the router has not detected that the flow's balancer is stopping: packets
+   * go there until its process has ended.
+   * @param zone the client's zone; empty if there is only one.
+   * @return the balancer that gets the packet; nothing if none is ready.
    */
-  std::optional<Endpoint> pick(std::uint16_t flow, bool is_opening, bool holds,
+  std::optional<Endpoint> pick(std::uint16_t flow, bool is_opening, bool keeps_balancer,
                                const std::string& zone) {
-    const auto held = held_.find(flow);
-    const bool keeps = held != held_.end() && !is_opening && holds && held->second->running;
+    const auto held = balancer_of_flow_.find(flow);
+    const bool keeps =
+        held != balancer_of_flow_.end() && !is_opening && keeps_balancer && held->second->running;
     if (keeps) {
       return held->second->process->packetAddress();
     }
@@ -77,11 +78,11 @@
     }
     const std::size_t hash = std::hash<std::uint32_t>()(flow * kHashFactor);
     Node* chosen = choices[hash % choices.size()];
-    held_[flow] = chosen;
+    balancer_of_flow_[flow] = chosen;
     return chosen->process->packetAddress();
   }
 
-  /** @return false where the balancer can't be killed now. */
+  /** @return false if the balancer has ended, is stopping or is paused. */
   bool kill(std::uint32_t target) {
     Node& node = at(target);
     if (!node.running || node.stopping || node.paused) {
@@ -92,9 +93,9 @@
     node.running = false;
     return true;
   }
-  void startAgain(std::uint32_t target) { start(at(target)); }
+  void restart(std::uint32_t target) { start(at(target)); }
 
-  /** @return false where the balancer can't be paused now. */
+  /** @return false if the balancer has ended, is stopping or is paused. */
   bool pause(std::uint32_t target) {
     Node& node = at(target);
     if (!node.running || node.stopping || node.paused) {
@@ -104,16 +105,16 @@
     node.process->signal(SIGSTOP);
     return true;
   }
-  void wake(std::uint32_t target) {
+  void resume(std::uint32_t target) {
     at(target).process->signal(SIGCONT);
     at(target).paused = false;
   }
 
-  /** The balancer's processor is slow, also that of its next process. */
-  void slowDown(std::uint32_t target) { slow_processor_.slowDown(*at(target).process); }
-  void endSlowness(std::uint32_t target) { slow_processor_.setFree(*at(target).process); }
+  /** Limits the balancer's CPU, also after a restart. */
+  void limitCpu(std::uint32_t target) { cpu_limiter_.limitCpu(*at(target).process); }
+  void removeCpuLimit(std::uint32_t target) { cpu_limiter_.removeLimit(*at(target).process); }
 
-  /** Sends SIGTERM, once more to a balancer that is about to stop. */
+  /** Sends SIGTERM, again to a balancer that is already stopping. */
   void stop(std::uint32_t target) {
     Node& node = at(target);
     if (!node.running || node.paused) {
@@ -131,7 +132,7 @@
     }
   }
 
-  /** Starts those again that have stopped as they were asked to. */
+  /** Restarts the balancers that have ended after a planned stop. */
   void reapStopped() {
     for (Node& node : nodes_) {
       if (!node.stopping) {
@@ -139,7 +140,7 @@
       }
       if (const auto exit_code = node.process->tryWait()) {
         node.stopping = false;
-        if (endedBeforeItBegan(node, *exit_code)) {
+        if (endedBeforeStart(node, *exit_code)) {
           ++ended_while_starting_;
           start(node);
           continue;
@@ -152,10 +153,10 @@
     }
   }
 
-  /** @return balancers that a signal ended before the first line of their program. */
+  /** @return number of balancers that a signal ended before their program handled it. */
   std::size_t endedWhileStarting() const { return ended_while_starting_; }
 
-  /** @return the most memory that the processes that run now have used together [KB]. */
+  /** @return sum of the peak memory of all running processes [KB]. */
   std::size_t peakMemoryKb() const {
     std::size_t sum = 0;
     for (const Node& node : nodes_) {
@@ -164,9 +165,9 @@
     return sum;
   }
 
-  /** @return requests that were answered on connections kept open, in all. */
+  /** @return number of requests answered on persistent connections. */
   std::size_t answeredOnConnections() const { return answered_on_connections_; }
-  std::size_t connectionsCutShort() const { return connections_cut_short_; }
+  std::size_t truncatedAnswers() const { return truncated_answers_; }
 
  private:
   struct Node {
@@ -176,32 +177,32 @@
     bool stopping = false;
     bool paused = false;
     std::atomic<bool> ready = false;
-    /** Signals that came since its last start, before its program held or handled them. */
-    std::set<int> signals_before_it_began;
+    /** Signals sent since the last start before the program blocked or handled them. */
+    std::set<int> signals_before_start;
     SoakTime stopping_since;
   };
 
   static constexpr std::uint32_t kFirstAddress = platform::kLoopback + 1;
-  static constexpr std::size_t kSeeds = 3;
+  static constexpr std::size_t kMaxSeeds = 3;
   static constexpr std::uint32_t kHashFactor = 2654435761U;
   static constexpr std::chrono::milliseconds kReadinessInterval{250};
   static constexpr std::chrono::milliseconds kConnectionInterval{50};
-  /** Balancers whose connections are used: a thread can use a few at a time. */
-  static constexpr std::size_t kConnectionsUsed = 6;
+  /** Number of balancers with persistent connections: one thread serves only a few. */
+  static constexpr std::size_t kMaxConnectionNodes = 6;
 
   static void signal(Node& node, int number) {
     if (!node.process->blocksOrHandles(number)) {
-      node.signals_before_it_began.insert(number);
+      node.signals_before_start.insert(number);
     }
     node.process->signal(number);
   }
 
   /**
-   * A signal ends a process by the system's own default where not one line of its program has run:
-   * nothing was accepted, no flow is open. Any other end by a signal is a breach.
+   * A signal's default action ends a process whose program has not started; no connection was
+   * accepted and no flow is open. Any other end by a signal is a violation.
    */
-  static bool endedBeforeItBegan(const Node& node, int exit_code) {
-    return node.signals_before_it_began.contains(-exit_code);
+  static bool endedBeforeStart(const Node& node, int exit_code) {
+    return node.signals_before_start.contains(-exit_code);
   }
 
   /** @return path of another build's lugfork-packetd; empty where all balancers run this build. */
@@ -211,7 +212,7 @@
   }
 
   static void start(Node& node) {
-    node.signals_before_it_began.clear();
+    node.signals_before_start.clear();
     node.process->start();
     node.running = true;
   }
@@ -230,7 +231,7 @@
     return ready;
   }
 
-  /** As routers do: a balancer that does not answer its readiness gets no new flows. */
+  /** Polls readiness as routers do: a balancer that does not answer gets no new flows. */
   void pollReadiness() {
     while (!ended_) {
       for (Node& node : nodes_) {
@@ -240,11 +241,11 @@
     }
   }
 
-  /** Asks on connections that stay open until the process behind them is gone. */
+  /** Sends requests on connections that stay open until the balancer's process ends. */
   void useConnections() {
     std::list<OpenConnection> connections;
     for (Node& node : nodes_) {
-      if (connections.size() < 2 * kConnectionsUsed) {
+      if (connections.size() < 2 * kMaxConnectionNodes) {
         connections.emplace_back(node.process->readyAddress());
         connections.emplace_back(node.process->controlAddress());
       }
@@ -254,7 +255,7 @@
       for (OpenConnection& connection : connections) {
         const AskResult result = connection.ask(is_control ? "/metrics" : "/ready");
         answered_on_connections_ += result == AskResult::Answered ? 1 : 0;
-        connections_cut_short_ += result == AskResult::CutShort ? 1 : 0;
+        truncated_answers_ += result == AskResult::Truncated ? 1 : 0;
         is_control = !is_control;
       }
       std::this_thread::sleep_for(kConnectionInterval);
@@ -262,16 +263,16 @@
   }
 
   PromiseMonitor& monitor_;
-  /** The same number at the address of each. */
+  /** Same port number at every balancer's address. */
   const platform::ReservedPort peer_port_;
   std::list<Node> nodes_;
   std::size_t ended_while_starting_ = 0;
-  /** The balancer that a flow's packets went to last. */
-  std::map<std::uint16_t, Node*> held_;
+  /** Balancer that received the last packet of each flow. */
+  std::map<std::uint16_t, Node*> balancer_of_flow_;
   std::atomic<bool> ended_ = false;
   std::atomic<std::size_t> answered_on_connections_ = 0;
-  std::atomic<std::size_t> connections_cut_short_ = 0;
-  SlowProcessor slow_processor_;
+  std::atomic<std::size_t> truncated_answers_ = 0;
+  CpuLimiter cpu_limiter_;
   std::thread readiness_poller_;
   std::thread connection_user_;
 };
--- a/tests/platform/soak/open_connection.h
+++ b/tests/platform/soak/open_connection.h
@@ -14,17 +14,17 @@
 
 namespace lugfork::soak {
 
-/** How a request on an open connection ended. */
+/** Result of a request on a persistent connection. */
 enum class AskResult {
-  /** A whole answer has come. */
+  /** A complete response was received. */
   Answered,
-  /** Nothing has come: the connection was closed before its next answer, or nobody listens. */
+  /** No byte was received: the connection was closed before the response, or refused. */
   Closed,
-  /** The answer was cut short. */
-  CutShort,
+  /** The response was truncated. */
+  Truncated,
 };
 
-/** An HTTP connection that is used again and again until the other side ends it. */
+/** A persistent HTTP connection, used until the server closes it. */
 class OpenConnection {
  public:
   explicit OpenConnection(Endpoint server) : server_(server) {}
@@ -32,7 +32,7 @@
   OpenConnection(const OpenConnection&) = delete;
   OpenConnection& operator=(const OpenConnection&) = delete;
 
-  /** Asks once more; connects first where there is no connection. */
+  /** Sends a request; connects first if there is no connection. */
   AskResult ask(const std::string& path) {
     if (socket_ < 0 && !connect()) {
       return AskResult::Closed;
@@ -48,12 +48,12 @@
   }
 
  private:
-  static constexpr timeval kPatience{3, 0};
+  static constexpr timeval kReceiveTimeout{3, 0};
   static constexpr std::size_t kReadBytes = 4096;
 
   bool connect() {
     socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
-    setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof(kPatience));
+    setsockopt(socket_, SOL_SOCKET, SO_RCVTIMEO, &kReceiveTimeout, sizeof(kReceiveTimeout));
     sockaddr_in name{};
     name.sin_family = AF_INET;
     name.sin_addr.s_addr = htonl(server_.address);
@@ -71,20 +71,20 @@
     while (true) {
       if (const auto end = endOfAnswer(answer)) {
         if (answer.size() >= *end) {
-          closeIfAsked(answer);
+          closeIfRequested(answer);
           return AskResult::Answered;
         }
       }
       const auto received = ::recv(socket_, chunk.data(), chunk.size(), 0);
       if (received <= 0) {
         close();
-        return answer.empty() ? AskResult::Closed : AskResult::CutShort;
+        return answer.empty() ? AskResult::Closed : AskResult::Truncated;
       }
       answer.append(chunk.data(), static_cast<std::size_t>(received));
     }
   }
 
-  /** @return where the answer ends; nothing before its head is whole. */
+  /** @return offset of the response's end; nothing until its header is complete. */
   static std::optional<std::size_t> endOfAnswer(const std::string& answer) {
     const std::size_t head_end = answer.find("\r\n\r\n");
     if (head_end == std::string::npos) {
@@ -97,7 +97,7 @@
     return head_end + 4 + body_bytes;
   }
 
-  void closeIfAsked(const std::string& answer) {
+  void closeIfRequested(const std::string& answer) {
     if (answer.find("Connection: close") != std::string::npos) {
       close();
     }
--- a/tests/platform/soak/packet_server.h
+++ b/tests/platform/soak/packet_backend.h
@@ -6,28 +6,30 @@
 #include "platform/packetd_fixture.h"
 #include "platform/soak/packet_text.h"
 #include "platform/soak/promise_monitor.h"
-#include "platform/soak/zone_cut.h"
+#include "platform/soak/zone_partition.h"
 
 namespace lugfork::soak {
 
-/** One start of a server: speaks the flow protocol and answers each request at once. */
-class PacketServer {
+/** One incarnation of a backend: speaks the flow protocol and answers each request immediately. */
+class PacketBackend {
  public:
-  /** What clients have sent, so that a server can tell when an opening was sent. */
+  /** Time at which clients sent the opening of each flow, for the checks of time bounds. */
   using SentTimes = std::map<std::pair<Endpoint, Endpoint>, SoakTime>;
 
-  PacketServer(std::uint64_t server_id, std::string service, std::string zone,
-               const ZoneCut& zone_cut, PromiseMonitor& monitor, const SentTimes& sent_times)
-      : server_id_(server_id),
+  PacketBackend(std::uint64_t backend_number, std::string service, std::string zone,
+                const ZonePartition& zone_partition, PromiseMonitor& monitor,
+                const SentTimes& sent_times)
+      : backend_number_(backend_number),
         service_(std::move(service)),
         zone_(std::move(zone)),
-        zone_cut_(zone_cut),
+        zone_partition_(zone_partition),
         monitor_(monitor),
         sent_times_(sent_times) {}
 
   std::string name() const {
     char text[24];
-    std::snprintf(text, sizeof(text), "i-%010llx", static_cast<unsigned long long>(server_id_));
+    std::snprintf(text, sizeof(text), "i-%010llx",
+                  static_cast<unsigned long long>(backend_number_));
     return text;
   }
   std::string key() const { return "servers/" + name(); }
@@ -40,17 +42,17 @@
   }
   int descriptor() const { return socket_.descriptor(); }
 
-  /** While silent, a server reads what comes and answers nothing. */
+  /** A silent backend reads packets without answering them. */
   void setSilent(bool silent) { is_silent_ = silent; }
 
-  /** Forgets all flows, as a new process would. */
-  void forgetFlows() { flows_.clear(); }
+  /** Drops all flow state, as a restart would. */
+  void clearFlows() { flows_.clear(); }
 
   /** Reads one datagram and answers it. */
   void onReadable() {
     const auto [bytes, balancer] = socket_.receiveFrom();
-    const bool is_reached = !is_silent_ && !zone_cut_.separates(balancer, zone_);
-    if (!is_reached || bytes.size() < kPrefixBytes || !isMeant(bytes)) {
+    const bool is_reached = !is_silent_ && !zone_partition_.separates(balancer, zone_);
+    if (!is_reached || bytes.size() < kPrefixBytes || !isAddressedHere(bytes)) {
       return;
     }
     const auto packet = EndPacket::decode(std::span(bytes).subspan(kPrefixBytes));
@@ -61,21 +63,21 @@
 
  private:
   static constexpr std::size_t kPrefixBytes = 8;
-  static constexpr std::uint32_t kServerSum = 1;
+  static constexpr std::uint32_t kBackendSum = 1;
 
   struct Flow {
     std::uint32_t next_from_client = 0;
-    std::uint32_t next_of_ours = 0;
+    std::uint32_t next_local = 0;
     std::string last_answer;
   };
   using FlowName = std::pair<Endpoint, Endpoint>;
 
-  bool isMeant(const std::vector<std::uint8_t>& bytes) const {
-    std::uint64_t meant = 0;
+  bool isAddressedHere(const std::vector<std::uint8_t>& bytes) const {
+    std::uint64_t addressee = 0;
     for (std::size_t index = 0; index < kPrefixBytes; ++index) {
-      meant = (meant << 8) | bytes[index];
+      addressee = (addressee << 8) | bytes[index];
     }
-    return meant == 0 || meant == server_id_;
+    return addressee == 0 || addressee == backend_number_;
   }
 
   void onPacket(const EndPacket& packet) {
@@ -88,8 +90,8 @@
     if (found == flows_.end()) {
       send(packet, EndPacket::kReset, packet.acknowledged, packet.sequence, "");
     } else if (packet.has(EndPacket::kFin)) {
-      send(packet, EndPacket::kFin | EndPacket::kAck, found->second.next_of_ours,
-           packet.sequence + 1, "");
+      send(packet, EndPacket::kFin | EndPacket::kAck, found->second.next_local, packet.sequence + 1,
+           "");
       flows_.erase(found);
     } else if (!packet.data.empty()) {
       onRequest(found->second, packet);
@@ -113,10 +115,10 @@
       flow.next_from_client += static_cast<std::uint32_t>(packet.data.size());
       monitor_.onRun(std::stoull(packet.data), service_, name());
       flow.last_answer = packet.data;
-      flow.next_of_ours += static_cast<std::uint32_t>(packet.data.size());
+      flow.next_local += static_cast<std::uint32_t>(packet.data.size());
     }
     const auto answer_bytes = static_cast<std::uint32_t>(flow.last_answer.size());
-    send(packet, EndPacket::kAck, flow.next_of_ours - answer_bytes, flow.next_from_client,
+    send(packet, EndPacket::kAck, flow.next_local - answer_bytes, flow.next_from_client,
          flow.last_answer);
   }
 
@@ -129,22 +131,22 @@
     packet.sequence = sequence;
     packet.acknowledged = acknowledged;
     packet.flags = flags;
-    packet.sum = kServerSum;
+    packet.sum = kBackendSum;
     packet.data = data;
     socket_.send({to.source.address, client_port_}, packet.encode());
   }
 
  public:
-  /** Port at which clients take packets, the number that balancers have. */
+  /** Port at which clients receive packets, the same number as the balancers' port. */
   void setClientPort(std::uint16_t port) { client_port_ = port; }
 
  private:
   static constexpr std::uint32_t kFirstSequence = 5000;
 
-  const std::uint64_t server_id_;
+  const std::uint64_t backend_number_;
   const std::string service_;
   const std::string zone_;
-  const ZoneCut& zone_cut_;
+  const ZonePartition& zone_partition_;
   PromiseMonitor& monitor_;
   const SentTimes& sent_times_;
   platform::TestSocket socket_;
--- a/tests/platform/soak/packet_client.h
+++ b/tests/platform/soak/packet_client.h
@@ -5,18 +5,18 @@
 #include <optional>
 
 #include "common/random_generator.h"
-#include "platform/soak/packet_server.h"
+#include "platform/soak/packet_backend.h"
 
 namespace lugfork::soak {
 
-/** Callers behind one address: each opens a flow, asks some requests on it, and closes it. */
+/** Clients behind one address: each opens a flow, sends some requests on it, and closes it. */
 class PacketClient {
  public:
-  /** Sends a packet through whatever balancer the routers pick. */
+  /** Sends a packet through the balancer that the routers pick. */
   using Route = std::function<void(const EndPacket& packet)>;
 
   PacketClient(std::uint32_t address, RandomGenerator& random, PromiseMonitor& monitor,
-               PacketServer::SentTimes& sent_times, Route route)
+               PacketBackend::SentTimes& sent_times, Route route)
       : address_(address),
         random_(random),
         monitor_(monitor),
@@ -25,11 +25,11 @@
 
   std::size_t asked() const { return asked_; }
   std::size_t served() const { return served_; }
-  /** @return flows whose opening was sent, and those of them that a server took. */
+  /** @return number of flows whose opening was sent, and of those that a backend accepted. */
   std::size_t flowsStarted() const { return flows_started_; }
   std::size_t flowsOpened() const { return flows_opened_; }
 
-  /** Opens a flow to a route whose requests go to that service. */
+  /** Opens a flow to a route; its requests belong to the service, any one if empty. */
   void open(Endpoint route, const std::string& service) {
     const Endpoint source{address_, next_port_};
     next_port_ = next_port_ == kLastPort ? kFirstPort : static_cast<std::uint16_t>(next_port_ + 1);
@@ -37,7 +37,7 @@
     flow.source = source;
     flow.route = route;
     flow.service = service;
-    flow.requests_left = 1 + static_cast<int>(random_.below(kMostRequests));
+    flow.requests_left = 1 + static_cast<int>(random_.below(kMaxRequests));
     flow.step_at = SoakClock::now();
     sent_times_[{source, route}] = flow.step_at;
     flows_[source.port] = flow;
@@ -45,7 +45,7 @@
     sendOpening(flows_[source.port]);
   }
 
-  /** @param sender a server, or the balancer that resets a flow. */
+  /** @param sender a backend, or the balancer that resets a flow. */
   void onPacket(const EndPacket& packet, Endpoint sender) {
     const auto found = flows_.find(packet.destination.port);
     if (found == flows_.end() || found->second.route != packet.source) {
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Sends again what is due, and gives up what is over. */
+  /** Sends due retransmissions and next requests, and closes flows that have timed out. */
   void tick(SoakTime now) {
     for (auto entry = flows_.begin(); entry != flows_.end();) {
       const auto current = entry++;
@@ -70,18 +70,19 @@
       const auto waited = now - flow.step_at;
       if (flow.state == State::Pausing && waited > kPause) {
         sendNext(current);
-      } else if (flow.state != State::Pausing && waited > kGiveUp) {
+      } else if (flow.state != State::Pausing && waited > kRequestTimeout) {
         finish(current);
-      } else if (flow.state != State::Pausing && flow.copies < kCopies.size() &&
-                 waited > kCopies[flow.copies]) {
-        ++flow.copies;
+      } else if (flow.state != State::Pausing &&
+                 flow.retransmissions < kRetransmissionTimes.size() &&
+                 waited > kRetransmissionTimes[flow.retransmissions]) {
+        ++flow.retransmissions;
         resend(flow);
       }
     }
   }
 
-  /** Tells which server each open flow is at, by what the first packets of it said. */
-  void setServerNames(std::function<std::string(std::uint32_t echo, Endpoint source)> names) {
+  /** Sets the lookup of a flow's backend by the token that its packets echo. */
+  void setBackendNames(std::function<std::string(std::uint32_t echo, Endpoint source)> names) {
     names_ = std::move(names);
   }
 
@@ -94,11 +95,11 @@
     std::string service;
     State state = State::Opening;
     std::uint32_t echo = 0;
-    std::uint32_t next_of_ours = kFirstSequence + 1;
-    std::uint32_t next_from_server = 0;
+    std::uint32_t next_local = kFirstSequence + 1;
+    std::uint32_t next_from_backend = 0;
     RequestId request = 0;
     int requests_left = 1;
-    std::size_t copies = 0;
+    std::size_t retransmissions = 0;
     SoakTime step_at;
   };
   using Flows = std::map<std::uint16_t, Flow>;
@@ -106,15 +107,16 @@
   static constexpr std::uint16_t kFirstPort = 10000;
   static constexpr std::uint16_t kLastPort = 60000;
   static constexpr std::uint32_t kFirstSequence = 1000;
-  static constexpr std::uint64_t kMostRequests = 8;
+  static constexpr std::uint64_t kMaxRequests = 8;
   static constexpr std::chrono::milliseconds kPause{300};
-  static constexpr std::chrono::milliseconds kGiveUp{3000};
-  static constexpr std::array<std::chrono::milliseconds, 3> kCopies{
+  static constexpr std::chrono::milliseconds kRequestTimeout{3000};
+  static constexpr std::array<std::chrono::milliseconds, 3> kRetransmissionTimes{
       std::chrono::milliseconds(200), std::chrono::milliseconds(600),
       std::chrono::milliseconds(1400)};
 
   void sendOpening(const Flow& flow) {
-    send(flow, EndPacket::kSyn, kFirstSequence, static_cast<std::uint32_t>(flow.copies), "");
+    send(flow, EndPacket::kSyn, kFirstSequence, static_cast<std::uint32_t>(flow.retransmissions),
+         "");
   }
 
   void onOpened(Flow& flow, const EndPacket& packet) {
@@ -123,14 +125,14 @@
     }
     ++flows_opened_;
     flow.echo = packet.echo;
-    flow.next_from_server = packet.sequence + 1;
+    flow.next_from_backend = packet.sequence + 1;
     ask(flow);
   }
 
   void ask(Flow& flow) {
     flow.state = State::Asking;
     flow.request = next_request_++;
-    flow.copies = 0;
+    flow.retransmissions = 0;
     flow.step_at = SoakClock::now();
     --flow.requests_left;
     ++asked_;
@@ -140,16 +142,16 @@
 
   void onAnswer(Flow& flow, const EndPacket& packet) {
     flow.echo = packet.echo;
-    if (flow.state != State::Asking || packet.sequence != flow.next_from_server) {
+    if (flow.state != State::Asking || packet.sequence != flow.next_from_backend) {
       return;
     }
     monitor_.onAnswer(flow.request, std::stoull(packet.data));
     ++served_;
-    flow.next_of_ours += static_cast<std::uint32_t>(packet.data.size());
-    flow.next_from_server += static_cast<std::uint32_t>(packet.data.size());
+    flow.next_local += static_cast<std::uint32_t>(packet.data.size());
+    flow.next_from_backend += static_cast<std::uint32_t>(packet.data.size());
     flow.state = State::Pausing;
     flow.step_at = SoakClock::now();
-    send(flow, EndPacket::kAck, flow.next_of_ours, flow.next_from_server, "");
+    send(flow, EndPacket::kAck, flow.next_local, flow.next_from_backend, "");
   }
 
   void onReset(const Flow& flow, const EndPacket& packet, Endpoint sender) {
@@ -171,7 +173,7 @@
   void finish(Flows::iterator entry) {
     const Flow& flow = entry->second;
     if (flow.state != State::Opening) {
-      send(flow, EndPacket::kFin | EndPacket::kAck, flow.next_of_ours, flow.next_from_server, "");
+      send(flow, EndPacket::kFin | EndPacket::kAck, flow.next_local, flow.next_from_backend, "");
     }
     sent_times_.erase({flow.source, flow.route});
     flows_.erase(entry);
@@ -181,7 +183,7 @@
     if (flow.state == State::Opening) {
       sendOpening(flow);
     } else {
-      send(flow, EndPacket::kAck, flow.next_of_ours, flow.next_from_server,
+      send(flow, EndPacket::kAck, flow.next_local, flow.next_from_backend,
            std::to_string(flow.request));
     }
   }
@@ -203,7 +205,7 @@
   const std::uint32_t address_;
   RandomGenerator& random_;
   PromiseMonitor& monitor_;
-  PacketServer::SentTimes& sent_times_;
+  PacketBackend::SentTimes& sent_times_;
   Route route_;
   std::function<std::string(std::uint32_t, Endpoint)> names_;
   Flows flows_;
--- a/tests/platform/soak/packet_text.h
+++ b/tests/platform/soak/packet_text.h
@@ -10,13 +10,13 @@
 
 namespace lugfork::soak {
 
-/** A packet of the users' page, as its two ends read and write it. */
+/** A packet of the flow protocol, as clients and backends encode and decode it. */
 struct EndPacket {
   static constexpr std::uint8_t kSyn = 4;
   static constexpr std::uint8_t kAck = 2;
   static constexpr std::uint8_t kFin = 128;
   static constexpr std::uint8_t kReset = 64;
-  static constexpr std::size_t kHeadBytes = 32;
+  static constexpr std::size_t kHeaderBytes = 32;
 
   Endpoint source;
   Endpoint destination;
@@ -24,7 +24,7 @@
   std::uint32_t sequence = 0;
   std::uint32_t acknowledged = 0;
   std::uint8_t flags = 0;
-  /** Written by servers only: a reset of the system's own has 0. */
+  /** Set by clients and backends; 0 in a reset that a balancer sends. */
   std::uint32_t sum = 0;
   std::string data;
 
@@ -53,7 +53,7 @@
   }
 
   static std::optional<EndPacket> decode(std::span<const std::uint8_t> bytes) {
-    if (bytes.size() < kHeadBytes) {
+    if (bytes.size() < kHeaderBytes) {
       return std::nullopt;
     }
     std::size_t at = 0;
@@ -76,10 +76,10 @@
     packet.flags = static_cast<std::uint8_t>(get(1));
     get(1);
     packet.sum = get(4);
-    if (bytes.size() != kHeadBytes + length) {
+    if (bytes.size() != kHeaderBytes + length) {
       return std::nullopt;
     }
-    packet.data.assign(bytes.begin() + kHeadBytes, bytes.end());
+    packet.data.assign(bytes.begin() + kHeaderBytes, bytes.end());
     return packet;
   }
 };
--- a/tests/platform/soak/promise_monitor.cc
+++ b/tests/platform/soak/promise_monitor.cc
@@ -6,29 +6,29 @@
 
 const char* toString(Promise promise) {
   switch (promise) {
-    case Promise::OwnAnswer:
+    case Promise::AnswerMatchesRequest:
       return "own_answer";
-    case Promise::AskedRequestsOnly:
+    case Promise::OnlySentRequestsRun:
       return "asked_requests_only";
     case Promise::AtMostOnce:
       return "at_most_once";
-    case Promise::OwnService:
+    case Promise::RequestRunsAtItsService:
       return "own_service";
-    case Promise::LivingFlowsHold:
+    case Promise::FlowsOfLiveBackendsSurvive:
       return "living_flows_hold";
-    case Promise::LeavingServersGetNothingNew:
+    case Promise::DrainingBackendsGetNoNewFlows:
       return "leaving_servers_get_nothing_new";
-    case Promise::ConfigurationInForce:
+    case Promise::ConfigurationTakesEffect:
       return "configuration_in_force";
-    case Promise::PlannedStopEndsWell:
+    case Promise::PlannedStopExitsCleanly:
       return "planned_stop_ends_well";
     case Promise::PlannedStopEndsInTime:
       return "planned_stop_ends_in_time";
-    case Promise::AnswersAreWhole:
+    case Promise::AnswersAreComplete:
       return "answers_are_whole";
-    case Promise::ServesAgain:
+    case Promise::ServiceRecovers:
       return "serves_again";
-    case Promise::NewFlowsAvoidCutServers:
+    case Promise::NewFlowsAvoidUnreachableBackends:
       return "new_flows_avoid_cut_servers";
   }
   return "unknown";
@@ -39,60 +39,63 @@
 }
 
 void PromiseMonitor::onRun(RequestId request, const std::string& service,
-                           const std::string& server) {
-  const std::string text = "request " + std::to_string(request) + " at " + server;
+                           const std::string& backend) {
+  const std::string text = "request " + std::to_string(request) + " at " + backend;
   const auto found = asked_.find(request);
-  check(Promise::AskedRequestsOnly, found != asked_.end(), text + " was never asked");
+  check(Promise::OnlySentRequestsRun, found != asked_.end(), text + " was never sent by a client");
   if (found == asked_.end()) {
     return;
   }
   ++found->second.runs;
-  check(Promise::AtMostOnce, found->second.runs == 1, text + " ran again");
+  check(Promise::AtMostOnce, found->second.runs == 1, text + " ran more than once");
   const bool any_service = found->second.service.empty();
-  check(Promise::OwnService, any_service || found->second.service == service,
-        text + " is for " + found->second.service + ", ran at " + service);
+  check(Promise::RequestRunsAtItsService, any_service || found->second.service == service,
+        text + " belongs to service " + found->second.service + ", ran at service " + service);
 }
 
 void PromiseMonitor::onAnswer(RequestId waiting_for, RequestId answered) {
-  check(Promise::OwnAnswer, waiting_for == answered,
-        "answer " + std::to_string(answered) + " in place of " + std::to_string(waiting_for));
+  check(
+      Promise::AnswerMatchesRequest, waiting_for == answered,
+      "answer " + std::to_string(answered) + " received instead of " + std::to_string(waiting_for));
 }
 
-void PromiseMonitor::onForeignReset(const std::string& flow, const std::string& server,
+void PromiseMonitor::onForeignReset(const std::string& flow, const std::string& backend,
                                     Endpoint balancer, SoakTime now) {
-  const bool is_inside_zone = !in_one_zone_ || in_one_zone_(balancer, server);
-  const bool is_reached = is_inside_zone || zone_cut_until_ + bounds_.contact < now;
+  const bool is_inside_zone = !in_one_zone_ || in_one_zone_(balancer, backend);
+  const bool is_reached = is_inside_zone || zone_partition_until_ + bounds_.contact < now;
   if (!isUndisturbed(now) || !is_reached) {
     return;
   }
-  const auto found = servers_disturbed_until_.find(server);
-  const bool server_lives = found == servers_disturbed_until_.end() ||
-                            found->second + bounds_.contact + bounds_.slack < now;
-  check(Promise::LivingFlowsHold, !server_lives,
-        flow + " was reset, its server " + server + " lives");
+  const auto found = backends_disturbed_until_.find(backend);
+  const bool backend_alive = found == backends_disturbed_until_.end() ||
+                             found->second + bounds_.contact + bounds_.slack < now;
+  check(Promise::FlowsOfLiveBackendsSurvive, !backend_alive,
+        flow + " was reset while its backend " + backend + " is live");
 }
 
-void PromiseMonitor::onOpening(const std::string& server, const std::string& service,
+void PromiseMonitor::onOpening(const std::string& backend, const std::string& service,
                                Endpoint route, SoakTime sent_at, SoakTime now) {
-  const auto left = leaving_.find(server);
-  if (left != leaving_.end()) {
+  const auto left = draining_.find(backend);
+  if (left != draining_.end()) {
     const auto after = std::chrono::duration_cast<std::chrono::milliseconds>(now - left->second);
-    latest_after_drain_ = std::max(latest_after_drain_, after);
+    max_delay_after_drain_ = std::max(max_delay_after_drain_, after);
   }
-  if (left != leaving_.end() && isUndisturbed(left->second)) {
-    check(Promise::LeavingServersGetNothingNew, now - left->second <= bounds_.drain + bounds_.slack,
-          server + " leaves, got an opening");
+  if (left != draining_.end() && isUndisturbed(left->second)) {
+    check(Promise::DrainingBackendsGetNoNewFlows,
+          now - left->second <= bounds_.drain + bounds_.slack,
+          backend + " is draining and got an opening");
   }
   const auto moved = routes_.find(route);
   if (moved != routes_.end() && isUndisturbed(moved->second.at) &&
       sent_at - moved->second.at > bounds_.configuration + bounds_.slack) {
-    check(Promise::ConfigurationInForce, moved->second.service == service,
-          toString(route) + " goes to " + moved->second.service + ", opened at " + service);
+    check(
+        Promise::ConfigurationTakesEffect, moved->second.service == service,
+        toString(route) + " leads to service " + moved->second.service + ", opened at " + service);
   }
 }
 
-void PromiseMonitor::onLeaving(const std::string& server, SoakTime now) {
-  leaving_.try_emplace(server, now);
+void PromiseMonitor::onDraining(const std::string& backend, SoakTime now) {
+  draining_.try_emplace(backend, now);
 }
 
 void PromiseMonitor::onRouteMoved(Endpoint route, const std::string& service, SoakTime now) {
@@ -103,39 +106,42 @@
   disturbed_until_ = std::max(disturbed_until_, until);
 }
 
-void PromiseMonitor::onServerDisturbed(const std::string& server, SoakTime until) {
-  SoakTime& known = servers_disturbed_until_[server];
+void PromiseMonitor::onBackendDisturbed(const std::string& backend, SoakTime until) {
+  SoakTime& known = backends_disturbed_until_[backend];
   known = std::max(known, until);
 }
 
-void PromiseMonitor::onZoneCut(SoakTime until) {
-  zone_cut_until_ = std::max(zone_cut_until_, until);
+void PromiseMonitor::onZonePartition(SoakTime until) {
+  zone_partition_until_ = std::max(zone_partition_until_, until);
 }
 
-void PromiseMonitor::onFlowsInCut(std::size_t started, std::size_t opened) {
+void PromiseMonitor::onFlowsInPartition(std::size_t started, std::size_t opened) {
   if (started > 0) {
-    fewest_opened_in_cut_ = std::min(fewest_opened_in_cut_, 100 * opened / started);
+    min_opened_percent_ = std::min(min_opened_percent_, 100 * opened / started);
   }
-  check(Promise::NewFlowsAvoidCutServers, started > 0 && 4 * opened >= 3 * started,
-        std::to_string(opened) + " of " + std::to_string(started) + " flows opened in the cut");
+  check(Promise::NewFlowsAvoidUnreachableBackends, started > 0 && 4 * opened >= 3 * started,
+        std::to_string(opened) + " of " + std::to_string(started) +
+            " flows opened during the partition");
 }
 
 void PromiseMonitor::onPlannedStop(const std::string& node, int exit_code,
                                    std::chrono::milliseconds took) {
-  check(Promise::PlannedStopEndsWell, exit_code == 0,
-        node + " ended with " + std::to_string(exit_code));
+  check(Promise::PlannedStopExitsCleanly, exit_code == 0,
+        node + " ended with exit code " + std::to_string(exit_code));
   check(Promise::PlannedStopEndsInTime, took <= bounds_.grace + bounds_.slack,
         node + " took " + std::to_string(took.count()) + " ms to stop");
 }
 
-void PromiseMonitor::onConnections(std::size_t answered, std::size_t cut_short) {
-  check(Promise::AnswersAreWhole, answered > 0 && cut_short == 0,
-        std::to_string(cut_short) + " answers cut short, " + std::to_string(answered) + " whole");
+void PromiseMonitor::onConnections(std::size_t answered, std::size_t truncated) {
+  check(
+      Promise::AnswersAreComplete, answered > 0 && truncated == 0,
+      std::to_string(truncated) + " answers truncated, " + std::to_string(answered) + " complete");
 }
 
-void PromiseMonitor::onQuietTime(std::size_t asked, std::size_t served) {
-  check(Promise::ServesAgain, asked > 0 && 4 * served >= asked,
-        std::to_string(served) + " of " + std::to_string(asked) + " served after all faults");
+void PromiseMonitor::onRecoveryPeriod(std::size_t asked, std::size_t served) {
+  check(Promise::ServiceRecovers, asked > 0 && 4 * served >= asked,
+        std::to_string(served) + " of " + std::to_string(asked) +
+            " requests served after all faults");
 }
 
 std::size_t PromiseMonitor::checks(Promise promise) const {
@@ -146,7 +152,7 @@
 void PromiseMonitor::check(Promise promise, bool kept, const std::string& text) {
   ++checks_[promise];
   if (!kept) {
-    breaches_.push_back({promise, text});
+    violations_.push_back({promise, text});
   }
 }
 
--- a/tests/platform/soak/promise_monitor.h
+++ b/tests/platform/soak/promise_monitor.h
@@ -10,111 +10,111 @@
 
 #include "common/ids.h"
 
-/** What the promises of the users' page forbid, judged by what clients and servers see. */
+/** Checks the promises made to users against what clients and backends observe. */
 namespace lugfork::soak {
 
 using SoakClock = std::chrono::steady_clock;
 using SoakTime = SoakClock::time_point;
 using RequestId = std::uint64_t;
 
-/** Bounds of the promises. */
+/** Time bounds of the promises. */
 struct PromiseBounds {
-  /** A leaving server gets nothing new after this. */
+  /** Time after which a draining backend gets no new flows. */
   std::chrono::milliseconds drain{3000};
-  /** A configuration is in force after this. */
+  /** Time after which a published configuration is in force. */
   std::chrono::milliseconds configuration{3000};
-  /** Bounds in time hold only where nothing was disturbed for this long. */
+  /** Time bounds are checked only after this long without a disturbance. */
   std::chrono::milliseconds contact{4000};
-  /** A balancer that is asked to stop has ended after this, whoever still uses it. */
+  /** Time within which a planned stop completes, also with connections still in use. */
   std::chrono::milliseconds grace{6000};
-  /** What a busy machine may add to a bound: processes here share the processor with others. */
+  /** Tolerance added to a bound, since the processes share the CPU with other work. */
   std::chrono::milliseconds slack{1500};
 };
 
 enum class Promise {
-  OwnAnswer,
-  AskedRequestsOnly,
+  AnswerMatchesRequest,
+  OnlySentRequestsRun,
   AtMostOnce,
-  OwnService,
-  LivingFlowsHold,
-  LeavingServersGetNothingNew,
-  ConfigurationInForce,
-  PlannedStopEndsWell,
+  RequestRunsAtItsService,
+  FlowsOfLiveBackendsSurvive,
+  DrainingBackendsGetNoNewFlows,
+  ConfigurationTakesEffect,
+  PlannedStopExitsCleanly,
   PlannedStopEndsInTime,
-  AnswersAreWhole,
-  ServesAgain,
-  NewFlowsAvoidCutServers,
-  Last = NewFlowsAvoidCutServers,
+  AnswersAreComplete,
+  ServiceRecovers,
+  NewFlowsAvoidUnreachableBackends,
+  Last = NewFlowsAvoidUnreachableBackends,
 };
 
 /** Stable name of a promise, for reports. */
 const char* toString(Promise promise);
 
-/** One broken promise. */
-struct Breach {
-  Promise promise = Promise::OwnAnswer;
+/** One violation of a promise. */
+struct Violation {
+  Promise promise = Promise::AnswerMatchesRequest;
   std::string text;
 };
 
-/** Takes what clients and servers see and keeps the breaches. */
+/** Checks the observations of clients and backends and records violations. */
 class PromiseMonitor {
  public:
   explicit PromiseMonitor(PromiseBounds bounds) : bounds_(bounds) {}
 
-  /** A client sends a request for the first time; an empty service stands for any. */
+  /** A client sends a request for the first time; an empty service matches any. */
   void onAsked(RequestId request, const std::string& service);
 
-  /** A server runs a request. */
-  void onRun(RequestId request, const std::string& service, const std::string& server);
+  /** A backend runs a request. */
+  void onRun(RequestId request, const std::string& service, const std::string& backend);
 
-  /** A client gets an answer to one request on a flow on which it waits for another, or the same.
-   */
+  /** A client receives the answer to a request while it waits for that or another one. */
   void onAnswer(RequestId waiting_for, RequestId answered);
 
-  /** A client gets a balancer's reset on an open flow. */
-  void onForeignReset(const std::string& flow, const std::string& server, Endpoint balancer,
+  /** A client receives a balancer's reset on an open flow. */
+  void onForeignReset(const std::string& flow, const std::string& backend, Endpoint balancer,
                       SoakTime now);
 
-  /** Tells whether a balancer and a server are machines of one zone; without it all are. */
-  void setInOneZone(std::function<bool(Endpoint balancer, const std::string& server)> in_one_zone) {
+  /** Sets the test whether a balancer and a backend share a zone; without it all do. */
+  void setInOneZone(
+      std::function<bool(Endpoint balancer, const std::string& backend)> in_one_zone) {
     in_one_zone_ = std::move(in_one_zone);
   }
 
-  /** Until then balancers can't reach servers of other zones; those of their own they can. */
-  void onZoneCut(SoakTime until);
+  /** Until then balancers may be unable to reach backends of other zones, but not local ones. */
+  void onZonePartition(SoakTime until);
 
-  /** Of the flows that clients started late in a cut of a zone, so many were opened. */
-  void onFlowsInCut(std::size_t started, std::size_t opened);
+  /** Number of flows that clients started late in a partition, and of those that were opened. */
+  void onFlowsInPartition(std::size_t started, std::size_t opened);
 
-  /** A server gets the opening of a flow that was sent then. */
-  void onOpening(const std::string& server, const std::string& service, Endpoint route,
+  /** A backend receives the opening of a flow, sent at `sent_at`. */
+  void onOpening(const std::string& backend, const std::string& service, Endpoint route,
                  SoakTime sent_at, SoakTime now);
 
-  /** The store has taken the word that a server leaves, or its entry's end. */
-  void onLeaving(const std::string& server, SoakTime now);
+  /** The store has accepted a backend's draining state or the removal of its item. */
+  void onDraining(const std::string& backend, SoakTime now);
 
-  /** The store has taken a configuration by which a route goes to a service. */
+  /** The store has accepted a configuration in which the route leads to the service. */
   void onRouteMoved(Endpoint route, const std::string& service, SoakTime now);
 
-  /** A process, the store, a link or a server is disturbed until then. */
+  /** A process, the store, a link or a backend is disturbed until then. */
   void onDisturbed(SoakTime until);
-  void onServerDisturbed(const std::string& server, SoakTime until);
+  void onBackendDisturbed(const std::string& backend, SoakTime until);
 
-  /** A balancer that was asked to stop ended with that exit code, and took so long. */
+  /** A planned stop of a balancer ended with that exit code after that time. */
   void onPlannedStop(const std::string& node, int exit_code, std::chrono::milliseconds took);
 
-  /** What was asked of balancers on connections that are used until the process is gone. */
-  void onConnections(std::size_t answered, std::size_t cut_short);
+  /** Number of complete and of truncated responses on persistent connections. */
+  void onConnections(std::size_t answered, std::size_t truncated);
 
-  /** In the quiet time after all faults so many of the asked requests were served. */
-  void onQuietTime(std::size_t asked, std::size_t served);
+  /** Number of requests sent and of those served in the recovery period after all faults. */
+  void onRecoveryPeriod(std::size_t asked, std::size_t served);
 
-  const std::vector<Breach>& breaches() const { return breaches_; }
+  const std::vector<Violation>& violations() const { return violations_; }
   std::size_t checks(Promise promise) const;
-  /** @return the longest time after its drain that a server got an opening, disturbed or not. */
-  std::chrono::milliseconds latestOpeningAfterDrain() const { return latest_after_drain_; }
-  /** @return the smallest share of new flows that were opened late in a cut [percent]. */
-  std::size_t fewestOpenedInCut() const { return fewest_opened_in_cut_; }
+  /** @return longest time after its drain at which a backend got an opening, disturbed or not. */
+  std::chrono::milliseconds maxOpeningDelayAfterDrain() const { return max_delay_after_drain_; }
+  /** @return smallest percentage of new flows that were opened late in a partition. */
+  std::size_t minOpenedPercent() const { return min_opened_percent_; }
 
  private:
   struct Asked {
@@ -131,16 +131,16 @@
 
   const PromiseBounds bounds_;
   std::map<RequestId, Asked> asked_;
-  std::map<std::string, SoakTime> leaving_;
+  std::map<std::string, SoakTime> draining_;
   std::map<Endpoint, Moved> routes_;
-  std::map<std::string, SoakTime> servers_disturbed_until_;
+  std::map<std::string, SoakTime> backends_disturbed_until_;
   std::function<bool(Endpoint, const std::string&)> in_one_zone_;
-  SoakTime zone_cut_until_;
-  std::size_t fewest_opened_in_cut_ = 100;
+  SoakTime zone_partition_until_;
+  std::size_t min_opened_percent_ = 100;
   SoakTime disturbed_until_;
-  std::chrono::milliseconds latest_after_drain_{};
+  std::chrono::milliseconds max_delay_after_drain_{};
   std::map<Promise, std::size_t> checks_;
-  std::vector<Breach> breaches_;
+  std::vector<Violation> violations_;
 };
 
 }  // namespace lugfork::soak
--- a/tests/platform/soak/promise_monitor_test.cc
+++ b/tests/platform/soak/promise_monitor_test.cc
@@ -1,4 +1,4 @@
-/** Each check of the soak is seen to fail on clients and servers that break its promise. */
+/** Each check of the soak fails on observations that violate its promise. */
 
 #include "platform/soak/promise_monitor.h"
 
@@ -17,128 +17,128 @@
 
 struct MonitorHarness {
   MonitorHarness() { monitor.onAsked(1, "a"); }
-  bool broke(Promise promise) const {
-    return monitor.breaches().size() == 1 && monitor.breaches()[0].promise == promise;
+  bool violates(Promise promise) const {
+    return monitor.violations().size() == 1 && monitor.violations()[0].promise == promise;
   }
   PromiseMonitor monitor{PromiseBounds()};
 };
 
-TEST_CASE("what is as it should be breaks nothing", "[soak_monitor]") {
+TEST_CASE("correct behaviour violates no promise", "[soak_monitor]") {
   MonitorHarness harness;
   PromiseMonitor& monitor = harness.monitor;
   monitor.onRun(1, "a", "s1");
   monitor.onAnswer(1, 1);
-  monitor.onLeaving("s1", kStart);
+  monitor.onDraining("s1", kStart);
   monitor.onOpening("s1", "a", kRoute, kStart, kStart + seconds(1));
   monitor.onRouteMoved(kRoute, "b", kStart);
   monitor.onOpening("s2", "b", kRoute, kStart + seconds(9), kStart + seconds(9));
-  CHECK(monitor.latestOpeningAfterDrain() == seconds(1));
+  CHECK(monitor.maxOpeningDelayAfterDrain() == seconds(1));
   monitor.onPlannedStop("n", 0, seconds(5));
   monitor.onConnections(100, 0);
-  monitor.onQuietTime(100, 100);
-  monitor.onFlowsInCut(100, 75);
-  CHECK(monitor.fewestOpenedInCut() == 75);
-  CHECK(monitor.breaches().empty());
+  monitor.onRecoveryPeriod(100, 100);
+  monitor.onFlowsInPartition(100, 75);
+  CHECK(monitor.minOpenedPercent() == 75);
+  CHECK(monitor.violations().empty());
 }
 
-TEST_CASE("each broken promise is found", "[soak_monitor]") {
+TEST_CASE("each violation of a promise is detected", "[soak_monitor]") {
   MonitorHarness harness;
   PromiseMonitor& monitor = harness.monitor;
-  SECTION("another request's answer") {
+  SECTION("answer to another request") {
     monitor.onAnswer(1, 2);
-    CHECK(harness.broke(Promise::OwnAnswer));
+    CHECK(harness.violates(Promise::AnswerMatchesRequest));
   }
-  SECTION("a request that nobody asked") {
+  SECTION("run of a request that no client sent") {
     monitor.onRun(2, "a", "s1");
-    CHECK(harness.broke(Promise::AskedRequestsOnly));
+    CHECK(harness.violates(Promise::OnlySentRequestsRun));
   }
-  SECTION("a second run") {
+  SECTION("second run of a request") {
     monitor.onRun(1, "a", "s1");
     monitor.onRun(1, "a", "s2");
-    CHECK(harness.broke(Promise::AtMostOnce));
+    CHECK(harness.violates(Promise::AtMostOnce));
   }
-  SECTION("another service") {
+  SECTION("run at another service") {
     monitor.onRun(1, "b", "s1");
-    CHECK(harness.broke(Promise::OwnService));
+    CHECK(harness.violates(Promise::RequestRunsAtItsService));
   }
-  SECTION("a reset of a living server's flow") {
+  SECTION("reset of a live backend's flow") {
     monitor.onForeignReset("flow", "s1", kBalancer, kStart);
-    CHECK(harness.broke(Promise::LivingFlowsHold));
+    CHECK(harness.violates(Promise::FlowsOfLiveBackendsSurvive));
   }
-  SECTION("a reset of a flow inside a zone that is cut off") {
-    monitor.setInOneZone([](Endpoint, const std::string& server) { return server == "s1"; });
-    monitor.onZoneCut(kStart + seconds(5));
+  SECTION("reset of a flow within a partitioned zone") {
+    monitor.setInOneZone([](Endpoint, const std::string& backend) { return backend == "s1"; });
+    monitor.onZonePartition(kStart + seconds(5));
     monitor.onForeignReset("flow", "s1", kBalancer, kStart + seconds(2));
-    CHECK(harness.broke(Promise::LivingFlowsHold));
+    CHECK(harness.violates(Promise::FlowsOfLiveBackendsSurvive));
   }
-  SECTION("a reset of a flow to another zone long after a cut") {
-    monitor.setInOneZone([](Endpoint, const std::string& server) { return server == "s1"; });
-    monitor.onZoneCut(kStart + seconds(5));
+  SECTION("reset of a flow to another zone long after a partition") {
+    monitor.setInOneZone([](Endpoint, const std::string& backend) { return backend == "s1"; });
+    monitor.onZonePartition(kStart + seconds(5));
     monitor.onForeignReset("flow", "s2", kBalancer, kStart + seconds(10));
-    CHECK(harness.broke(Promise::LivingFlowsHold));
+    CHECK(harness.violates(Promise::FlowsOfLiveBackendsSurvive));
   }
-  SECTION("new flows to servers that are cut off") {
-    monitor.onFlowsInCut(100, 74);
-    CHECK(harness.broke(Promise::NewFlowsAvoidCutServers));
+  SECTION("too few new flows opened during a partition") {
+    monitor.onFlowsInPartition(100, 74);
+    CHECK(harness.violates(Promise::NewFlowsAvoidUnreachableBackends));
   }
-  SECTION("no flow in a cut") {
-    monitor.onFlowsInCut(0, 0);
-    CHECK(harness.broke(Promise::NewFlowsAvoidCutServers));
+  SECTION("no flow started during a partition") {
+    monitor.onFlowsInPartition(0, 0);
+    CHECK(harness.violates(Promise::NewFlowsAvoidUnreachableBackends));
   }
-  SECTION("a new flow on a leaving server") {
-    monitor.onLeaving("s1", kStart);
+  SECTION("new flow at a draining backend") {
+    monitor.onDraining("s1", kStart);
     monitor.onOpening("s1", "a", kRoute, kStart + seconds(5), kStart + seconds(5));
-    CHECK(harness.broke(Promise::LeavingServersGetNothingNew));
+    CHECK(harness.violates(Promise::DrainingBackendsGetNoNewFlows));
   }
-  SECTION("an old configuration") {
+  SECTION("flow opened by an outdated configuration") {
     monitor.onRouteMoved(kRoute, "b", kStart);
     monitor.onOpening("s1", "a", kRoute, kStart + seconds(5), kStart + seconds(5));
-    CHECK(harness.broke(Promise::ConfigurationInForce));
+    CHECK(harness.violates(Promise::ConfigurationTakesEffect));
   }
-  SECTION("a planned stop that ends badly") {
+  SECTION("planned stop with an exit code other than 0") {
     monitor.onPlannedStop("n", -1, seconds(1));
-    CHECK(harness.broke(Promise::PlannedStopEndsWell));
+    CHECK(harness.violates(Promise::PlannedStopExitsCleanly));
   }
-  SECTION("a planned stop that does not end") {
+  SECTION("planned stop that exceeds its bound") {
     monitor.onPlannedStop("n", 0, seconds(8));
-    CHECK(harness.broke(Promise::PlannedStopEndsInTime));
+    CHECK(harness.violates(Promise::PlannedStopEndsInTime));
   }
-  SECTION("an answer that is cut short") {
+  SECTION("truncated answer") {
     monitor.onConnections(100, 1);
-    CHECK(harness.broke(Promise::AnswersAreWhole));
+    CHECK(harness.violates(Promise::AnswersAreComplete));
   }
-  SECTION("connections on which nothing was answered") {
+  SECTION("connections without any answer") {
     monitor.onConnections(0, 0);
-    CHECK(harness.broke(Promise::AnswersAreWhole));
+    CHECK(harness.violates(Promise::AnswersAreComplete));
   }
-  SECTION("no service after all faults") {
-    monitor.onQuietTime(100, 24);
-    CHECK(harness.broke(Promise::ServesAgain));
+  SECTION("too few requests served after all faults") {
+    monitor.onRecoveryPeriod(100, 24);
+    CHECK(harness.violates(Promise::ServiceRecovers));
   }
 }
 
-TEST_CASE("bounds in time are judged only where nothing was disturbed", "[soak_monitor]") {
+TEST_CASE("time bounds are not checked during and shortly after a disturbance", "[soak_monitor]") {
   MonitorHarness harness;
   PromiseMonitor& monitor = harness.monitor;
   monitor.onDisturbed(kStart);
-  monitor.onLeaving("s1", kStart + seconds(1));
+  monitor.onDraining("s1", kStart + seconds(1));
   monitor.onOpening("s1", "a", kRoute, kStart + seconds(7), kStart + seconds(7));
   monitor.onForeignReset("flow", "s2", kBalancer, kStart + seconds(3));
-  monitor.onServerDisturbed("s3", kStart + seconds(18));
+  monitor.onBackendDisturbed("s3", kStart + seconds(18));
   monitor.onForeignReset("flow", "s3", kBalancer, kStart + seconds(20));
-  CHECK(monitor.breaches().empty());
+  CHECK(monitor.violations().empty());
 }
 
-TEST_CASE("a reset between two zones breaks nothing while they are cut off", "[soak_monitor]") {
+TEST_CASE("reset between two partitioned zones violates no promise", "[soak_monitor]") {
   MonitorHarness harness;
   PromiseMonitor& monitor = harness.monitor;
   monitor.setInOneZone([](Endpoint, const std::string&) { return false; });
-  monitor.onZoneCut(kStart + seconds(5));
+  monitor.onZonePartition(kStart + seconds(5));
   monitor.onForeignReset("flow", "s1", kBalancer, kStart + seconds(2));
-  CHECK(monitor.breaches().empty());
+  CHECK(monitor.violations().empty());
 }
 
-TEST_CASE("one seed gives one plan of faults, another seed another", "[soak_monitor]") {
+TEST_CASE("same seed draws the same fault plan, another seed a different one", "[soak_monitor]") {
   const auto plan = [](std::uint64_t seed) {
     std::string text;
     for (const Fault& fault : drawFaults(seed, seconds(60))) {
--- a/tests/platform/soak/route_publisher.h
+++ b/tests/platform/soak/route_publisher.h
@@ -10,8 +10,7 @@
 inline constexpr Endpoint kFixedRoute{0xc6120001, 443};
 inline constexpr Endpoint kMovingRoute{0xc6120001, 8443};
 
-/** The operator: writes the routes, of which one goes to the first and the second service by turns.
- */
+/** Publishes the routes as an operator does; one alternates between the two services. */
 class RoutePublisher {
  public:
   RoutePublisher(platform::FakeStore& store, PromiseMonitor& monitor)
--- a/tests/process/api_documentation_test.cc
+++ b/tests/process/api_documentation_test.cc
@@ -6,15 +6,16 @@
 namespace lugfork::test {
 namespace {
 
-/** One example: the request, the status and the fields that the page promises. */
+/** An example: the request, and the status and fields that the page documents. */
 struct Example {
   HttpCall call;
   int status = 0;
   json body;
 };
 
-/** @return the text of the next fenced block with that heading; moves position behind it. */
-std::string nextBlock(const std::string& page, const std::string& fence, std::size_t& position) {
+/** @return text of the next block that starts with the fence; moves position to the block's end. */
+std::string readNextBlock(const std::string& page, const std::string& fence,
+                          std::size_t& position) {
   const std::size_t begin = page.find(fence, position);
   if (begin == std::string::npos) {
     position = begin;
@@ -45,15 +46,15 @@
   std::vector<Example> examples;
   std::size_t position = 0;
   while (true) {
-    const std::string request = nextBlock(page, "```http\n", position);
+    const std::string request = readNextBlock(page, "```http\n", position);
     if (position == std::string::npos) {
       return examples;
     }
-    examples.push_back(parseExample(request, nextBlock(page, "```text\n", position)));
+    examples.push_back(parseExample(request, readNextBlock(page, "```text\n", position)));
   }
 }
 
-/** Checks that everything documented is there, with the documented type. */
+/** Checks that all documented fields exist and have the documented type. */
 void checkShape(const json& documented, const json& actual, const std::string& path) {
   INFO(path << ": " << actual.dump());
   if (documented.is_object()) {
@@ -74,7 +75,7 @@
   }
 }
 
-TEST_CASE("every example of the API page works as written") {
+TEST_CASE("every example of the API page gets the documented status and fields") {
   const std::vector<Example> examples = readExamples();
   REQUIRE(examples.size() >= 10);
   const Fleet fleet;
@@ -91,7 +92,7 @@
   }
 }
 
-TEST_CASE("a node with a token answers nobody without it") {
+TEST_CASE("node with an API token rejects requests without the token, except health checks") {
   const Fleet fleet;
   HttpCall call;
   call.server = fleet.ports().endpoint(Fleet::kApi);
--- a/tests/process/control_test.cc
+++ b/tests/process/control_test.cc
@@ -2,7 +2,7 @@
 
 #include "process/fleet.h"
 
-/** The operators' client against a fleet: what it prints and its exit codes. */
+/** Output and exit codes of the operators' client lugforkctl against a fleet. */
 namespace lugfork::test {
 namespace {
 
@@ -27,7 +27,7 @@
   CHECK(fleet.control({"drain", "nobody", "--platform", platform}) == 1);
 }
 
-TEST_CASE("apply shows the difference, refuses a stale version and says who is behind") {
+TEST_CASE("apply prints the difference, refuses a stale version and lists nodes that are behind") {
   Fleet fleet;
   const std::string platform = fleet.ports().text(Fleet::kPlatform);
   const std::string node = fleet.ports().text(Fleet::kApi);
@@ -52,7 +52,7 @@
   CHECK(contains(fleet.controlErrors(), "behind: " + node));
 }
 
-TEST_CASE("reads print tables or JSON, and wrong use ends with exit code 2") {
+TEST_CASE("reads print tables or JSON, and invalid usage exits with code 2") {
   Fleet fleet;
   const std::string node = fleet.ports().text(Fleet::kApi);
   struct Row {
--- a/tests/process/failure_test.cc
+++ b/tests/process/failure_test.cc
@@ -3,12 +3,13 @@
 
 #include "process/fleet.h"
 
-/** The promises under failure, on what callers and back ends of a real fleet recorded. */
+/** Promises to users during failures, checked on the records of a real fleet's clients and
+ * backends. */
 namespace lugfork::test {
 namespace {
 
-/** After this long a drain that every node knows must keep all new work away. */
-constexpr std::uint64_t kDrainLimitMilliseconds = 5000;
+/** Time after which a drain that is in force at all balancers must prevent new requests. */
+constexpr std::uint64_t kMaxDrainDelayMs = 5000;
 
 void sleepFor(int milliseconds) {
   std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
@@ -18,8 +19,8 @@
   return toUnixMilliseconds(RealTimeSource().systemTime());
 }
 
-void checkAllWhole(const Fleet& fleet, Process& caller, int calls) {
-  const CallerReport report = Fleet::finish(caller);
+void checkAllComplete(const Fleet& fleet, Process& client, int calls) {
+  const ClientReport report = Fleet::finish(client);
   const json& summary = report.summary;
   INFO(summary.dump());
   INFO((report.exit_code == 0 ? std::string() : fleet.logs()));
@@ -31,7 +32,7 @@
   CHECK(report.exit_code == 0);
 }
 
-/** Every upload ran once on one back end, and each service's work stayed with its back ends. */
+/** Checks that each upload ran once on one backend, and each service's requests at its backends. */
 void checkUploadsRanOnce(const Fleet& fleet, std::size_t uploads) {
   std::multiset<std::string> flows;
   for (int index = Fleet::kListenBackends; index < Fleet::kBackends; ++index) {
@@ -49,29 +50,29 @@
   }
 }
 
-/** Streams and uploads run while something happens to the fleet; none may break or run twice. */
-void checkNothingBreaks(const std::function<void(Fleet&)>& failure, int stream_pieces = 60) {
+/** Runs streams and uploads during a failure of the fleet; none may break or run twice. */
+void checkNoFlowBreaks(const std::function<void(Fleet&)>& inject_failure, int stream_pieces = 60) {
   constexpr int kStreams = 30;
   constexpr int kUploads = 20;
   Fleet fleet;
   const auto streams = fleet.startStreams(kStreams, stream_pieces);
   const auto uploads = fleet.startUploads(kUploads, 200);
   sleepFor(1000);
-  failure(fleet);
-  checkAllWhole(fleet, *streams, kStreams);
-  checkAllWhole(fleet, *uploads, kUploads);
+  inject_failure(fleet);
+  checkAllComplete(fleet, *streams, kStreams);
+  checkAllComplete(fleet, *uploads, kUploads);
   checkUploadsRanOnce(fleet, kUploads);
 }
 
-TEST_CASE("killing a balancer breaks no flow") {
-  checkNothingBreaks([](Fleet& fleet) {
+TEST_CASE("killed balancer breaks no flow") {
+  checkNoFlowBreaks([](Fleet& fleet) {
     fleet.balancer(0).signal(SIGKILL);
     fleet.balancer(0).wait();
   });
 }
 
-TEST_CASE("freezing a balancer and waking it late breaks no flow") {
-  checkNothingBreaks([](Fleet& fleet) {
+TEST_CASE("balancer paused for 3 s breaks no flow") {
+  checkNoFlowBreaks([](Fleet& fleet) {
     fleet.balancer(0).signal(SIGSTOP);
     sleepFor(3000);
     fleet.balancer(0).signal(SIGCONT);
@@ -79,8 +80,8 @@
   });
 }
 
-TEST_CASE("killing and restarting a balancer breaks no flow") {
-  checkNothingBreaks([](Fleet& fleet) {
+TEST_CASE("killed and restarted balancer breaks no flow") {
+  checkNoFlowBreaks([](Fleet& fleet) {
     fleet.balancer(1).signal(SIGKILL);
     fleet.balancer(1).wait();
     fleet.startBalancer(1);
@@ -89,8 +90,9 @@
 }
 
 TEST_CASE(
-    "a balancer that restarts while the platform is down learns what is in force from peers") {
-  checkNothingBreaks([](Fleet& fleet) {
+    "balancer restarted during an outage of the platform gets the configuration in force from "
+    "peers") {
+  checkNoFlowBreaks([](Fleet& fleet) {
     CHECK(fleet.publish() == 0);
     fleet.controlPlatform({{"outage", true}});
     fleet.balancer(2).signal(SIGTERM);
@@ -102,39 +104,39 @@
   });
 }
 
-TEST_CASE("a drained back end gets nothing new and ends what it has") {
+TEST_CASE("drained backend gets no new requests and completes the running ones") {
   std::uint64_t drained_at_ms = 0;
   Fleet fleet;
   const auto streams = fleet.startStreams(30, 80);
-  fleet.waitFor("a stream at the first back end", [&] { return !fleet.runs(0).empty(); });
+  fleet.waitFor("a stream at the first backend", [&] { return !fleet.runs(0).empty(); });
   fleet.document()["backends"][0]["draining"] = true;
   REQUIRE(fleet.publish() == 0);
   drained_at_ms = nowMilliseconds();
   const auto late_calls = fleet.startPreChecks(60, 100);
-  checkAllWhole(fleet, *streams, 30);
-  checkAllWhole(fleet, *late_calls, 60);
-  std::size_t before = 0;
+  checkAllComplete(fleet, *streams, 30);
+  checkAllComplete(fleet, *late_calls, 60);
+  std::size_t admitted_before_drain = 0;
   for (const json& run : fleet.runs(0)) {
     const auto admitted_at_ms = run["admitted_at_ms"].get<std::uint64_t>();
     INFO("admitted " << admitted_at_ms << ", drained " << drained_at_ms);
-    CHECK(admitted_at_ms <= drained_at_ms + kDrainLimitMilliseconds);
-    before += admitted_at_ms <= drained_at_ms ? 1 : 0;
+    CHECK(admitted_at_ms <= drained_at_ms + kMaxDrainDelayMs);
+    admitted_before_drain += admitted_at_ms <= drained_at_ms ? 1 : 0;
   }
-  CHECK(before > 0);
+  CHECK(admitted_before_drain > 0);
 }
 
-TEST_CASE("a balancer with the keys of another fleet is refused by its peers") {
+TEST_CASE("balancer with the keys of another fleet is refused by its peers") {
   Fleet fleet;
   fleet.balancer(2).signal(SIGTERM);
   CHECK(fleet.balancer(2).wait() == 0);
   CHECK(fleet.metric(0, "lugfork_peers_refused_total") == 0);
-  fleet.startStranger(2);
+  fleet.startUntrustedBalancer(2);
   fleet.waitFor("a refused peer at balancer 0",
                 [&] { return fleet.metric(0, "lugfork_peers_refused_total") > 0; });
 }
 
-TEST_CASE("a rolling restart of all balancers breaks no flow") {
-  checkNothingBreaks(
+TEST_CASE("rolling restart of all balancers breaks no flow") {
+  checkNoFlowBreaks(
       [](Fleet& fleet) {
         for (int index = 0; index < Fleet::kBalancers; ++index) {
           fleet.balancer(index).signal(SIGTERM);
@@ -146,7 +148,7 @@
       150);
 }
 
-TEST_CASE("rotating the token key in three versions breaks no flow") {
+TEST_CASE("rotation of the token key in three versions breaks no flow") {
   Fleet fleet;
   const auto before = fleet.startStreams(20, 40);
   sleepFor(1000);
@@ -157,28 +159,28 @@
   keys[1]["seals"] = true;
   CHECK(fleet.publish() == 0);
   const auto after = fleet.startPreChecks(100, 50);
-  checkAllWhole(fleet, *before, 20);
-  // The flows that the first key sealed have ended: it may go while others run.
+  checkAllComplete(fleet, *before, 20);
+  // Flows whose tokens the first key sealed have ended, so it can be removed while others run.
   keys.erase(0);
   CHECK(fleet.publish() == 0);
-  checkAllWhole(fleet, *after, 100);
+  checkAllComplete(fleet, *after, 100);
 }
 
-TEST_CASE("one caller's flow goes through balancers of several zones to one back end") {
+TEST_CASE("flow through balancers of several zones reaches a single backend") {
   Fleet fleet;
   const auto streams = fleet.startStreams(10, 20);
-  checkAllWhole(fleet, *streams, 10);
-  // A flow that was refused as not run goes on under its next attempt, perhaps elsewhere.
-  std::map<std::string, int> backends_of_attempt;
-  std::size_t through_several = 0;
+  checkAllComplete(fleet, *streams, 10);
+  // A flow that was refused as not run continues as its next attempt, perhaps at another backend.
+  std::map<std::string, int> backends_per_attempt;
+  std::size_t through_several_balancers = 0;
   for (int index = 0; index < Fleet::kBackends; ++index) {
     for (const json& record : fleet.flows(index)) {
-      ++backends_of_attempt[record["flow"].get<std::string>() + "/" + record["attempt"].dump()];
-      through_several += record["balancers"].size() > 1 ? 1 : 0;
+      ++backends_per_attempt[record["flow"].get<std::string>() + "/" + record["attempt"].dump()];
+      through_several_balancers += record["balancers"].size() > 1 ? 1 : 0;
     }
   }
-  CHECK(through_several > 0);
-  for (const auto& [attempt, backends] : backends_of_attempt) {
+  CHECK(through_several_balancers > 0);
+  for (const auto& [attempt, backends] : backends_per_attempt) {
     INFO(attempt);
     CHECK(backends == 1);
   }
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -22,13 +22,13 @@
 #include "runtime/http_client.h"
 #include "runtime/peer_security.h"
 
-/** A small fleet as processes on loopback, for tests: the programs as an operator starts them. */
+/** A small fleet of processes on loopback for tests, started as an operator starts the programs. */
 namespace lugfork::test {
 
 using nlohmann::json;
 
-/** Longest wait for a state that must come; verdicts never depend on how fast it came. */
-inline constexpr auto kStateLimit = std::chrono::seconds(60);
+/** Longest wait for an expected state; no check depends on how fast it is reached. */
+inline constexpr auto kStateTimeout = std::chrono::seconds(60);
 inline constexpr auto kPollInterval = std::chrono::milliseconds(50);
 
 inline std::string readFile(const std::string& path) {
@@ -36,7 +36,7 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-/** One started program; killed at the end of the scope if it still runs. */
+/** A started program; killed by the destructor if it is still running. */
 class Process {
  public:
   Process(const std::vector<std::string>& command, const std::string& output_base)
@@ -61,7 +61,7 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
   ~Process() {
-    if (!waited_) {
+    if (!ended_) {
       signal(SIGKILL);
       signal(SIGCONT);
       wait();
@@ -70,13 +70,13 @@
 
   void signal(int number) const { ::kill(pid_, number); }
 
-  /** Waits for the end. @return the exit code, or 128 plus the number of the signal. */
+  /** Waits until the process ends. @return the exit code, or 128 plus the number of the signal. */
   int wait() {
-    if (!waited_) {
+    if (!ended_) {
       int status = 0;
       ::waitpid(pid_, &status, 0);
       exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-      waited_ = true;
+      ended_ = true;
     }
     return exit_code_;
   }
@@ -86,13 +86,13 @@
  private:
   const std::string output_file_;
   pid_t pid_ = 0;
-  bool waited_ = false;
+  bool ended_ = false;
   int exit_code_ = 0;
 };
 
 /**
- * Holds a block of loopback ports: one listening socket on its first port keeps other runs of these
- * tests away from the block.
+ * Reserves a block of loopback ports: a listening socket on its first port prevents other runs of
+ * these tests from using the block.
  */
 class PortBlock {
  public:
@@ -100,24 +100,24 @@
 
   PortBlock() {
     for (int base = 23000; base < 32000; base += kSize) {
-      guard_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+      guard_socket_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
       sockaddr_in address{};
       address.sin_family = AF_INET;
       address.sin_port = htons(static_cast<std::uint16_t>(base));
       address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       const bool bound =
-          ::bind(guard_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
-      if (bound && ::listen(guard_, 1) == 0) {
+          ::bind(guard_socket_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
+      if (bound && ::listen(guard_socket_, 1) == 0) {
         base_ = base;
         return;
       }
-      ::close(guard_);
+      ::close(guard_socket_);
     }
-    throw std::runtime_error("no free block of ports");
+    throw std::runtime_error("no free block of loopback ports between 23000 and 32000");
   }
   PortBlock(const PortBlock&) = delete;
   PortBlock& operator=(const PortBlock&) = delete;
-  ~PortBlock() { ::close(guard_); }
+  ~PortBlock() { ::close(guard_socket_); }
 
   Endpoint endpoint(int offset) const {
     return {INADDR_LOOPBACK, static_cast<std::uint16_t>(base_ + offset)};
@@ -125,18 +125,18 @@
   std::string text(int offset) const { return toString(endpoint(offset)); }
 
  private:
-  int guard_ = -1;
+  int guard_socket_ = -1;
   int base_ = 0;
 };
 
-/** How a caller's run ended, as the caller reported it. */
-struct CallerReport {
+/** Result of a client's run, as the client reported it. */
+struct ClientReport {
   int exit_code = 0;
   json summary;
 };
 
 /** Platform, fabric, three balancers (CURVE keys, API token) in three zones, three listen-api and
- * two ingest back ends. */
+ * two ingest backends. */
 class Fleet {
  public:
   static constexpr int kBalancers = 3;
@@ -207,14 +207,14 @@
     start("balancer-" + std::to_string(index), command);
   }
 
-  /** Starts a balancer in place of one of the fleet, with keys of its own. */
-  void startStranger(int index) {
+  /** Starts a balancer in place of one of the fleet, with keys that its peers don't trust. */
+  void startUntrustedBalancer(int index) {
     const PeerKeyPair fleet_keys = std::exchange(keys_, makePeerKeyPair());
     startBalancer(index);
     keys_ = fleet_keys;
   }
 
-  /** @return the sum over a metric's labels; 0 for an unknown one. */
+  /** @return sum over all labels of a metric; 0 if there is no such metric. */
   double metric(int index, const std::string& name) const {
     HttpCall call;
     call.server = ports_.endpoint(kApi + index);
@@ -243,7 +243,7 @@
     return status(index).value("version_in_force", std::uint64_t{0});
   }
 
-  /** Sets test switches of the platform, for example {"outage": true}. */
+  /** Sets the platform's test switches, for example {"outage": true}. */
   void controlPlatform(const json& switches) const {
     HttpCall call;
     call.method = "POST";
@@ -253,7 +253,7 @@
     httpRequest(call).value();
   }
 
-  /** The declared document; change it and publish(). */
+  /** The configuration document; to be changed and then published by publish(). */
   json& document() { return document_; }
 
   /** Publishes the document as the next version and waits until it is in force on all nodes. */
@@ -278,7 +278,8 @@
     return Process(command, file("apply")).wait();
   }
 
-  /** Runs lugforkctl. @return the exit code; the output stands in controlOutput(). */
+  /** Runs lugforkctl. @return the exit code; its output is in controlOutput() and controlErrors().
+   */
   int control(std::vector<std::string> arguments) {
     arguments.insert(arguments.begin(), program("lugforkctl"));
     std::filesystem::remove(file("control.log"));
@@ -291,7 +292,7 @@
   const std::string& controlOutput() const { return control_output_; }
   const std::string& controlErrors() const { return control_errors_; }
 
-  /** Writes the document with a version. @return the file's path. */
+  /** Writes the document with the given version. @return the file's path. */
   std::string writeDocument(const std::string& name, int version) const {
     json document = document_;
     document["version"] = version;
@@ -299,49 +300,49 @@
     return file(name);
   }
 
-  /** Starts callers of listen-api (streams) or ingest (uploads). */
+  /** Starts clients of listen-api (streams) or ingest (uploads). */
   std::unique_ptr<Process> startStreams(int calls, int pieces) {
-    return startCaller("streams", "10.20.0.1:443", "1",
+    return startClient("streams", "10.20.0.1:443", "1",
                        {"--kind", "stream", "--calls", std::to_string(calls), "--answer-pieces",
                         std::to_string(pieces), "--answer-interval", "100", "--work", "5"});
   }
   std::unique_ptr<Process> startUploads(int calls, int spacing_ms) {
-    return startCaller("uploads", "10.20.0.2:443", "2",
+    return startClient("uploads", "10.20.0.2:443", "2",
                        {"--kind", "upload", "--calls", std::to_string(calls), "--spacing",
                         std::to_string(spacing_ms), "--request-pieces", "50", "--work", "20"});
   }
 
   std::unique_ptr<Process> startPreChecks(int calls, int spacing_ms) {
-    return startCaller("prechecks", "10.20.0.1:443", "1",
+    return startClient("prechecks", "10.20.0.1:443", "1",
                        {"--kind", "precheck", "--calls", std::to_string(calls), "--spacing",
                         std::to_string(spacing_ms), "--work", "5"});
   }
 
-  static CallerReport finish(Process& caller) {
-    CallerReport report;
-    report.exit_code = caller.wait();
-    report.summary = json::parse(caller.output(), nullptr, false);
+  static ClientReport finish(Process& client) {
+    ClientReport report;
+    report.exit_code = client.wait();
+    report.summary = json::parse(client.output(), nullptr, false);
     return report;
   }
 
-  /** @return requests that a back end started, as it recorded them. */
+  /** @return requests that a backend started, as it recorded them. */
   json runs(int index) const { return get(ports_.endpoint(kProbe + index), "/runs"); }
 
-  /** @return the balancers that forwarded each flow's datagrams, as the back end recorded them. */
+  /** @return the balancers that forwarded each flow's datagrams, as the backend recorded them. */
   json flows(int index) const { return get(ports_.endpoint(kProbe + index), "/flows"); }
 
-  /** Waits until a state has come; fails the test with the fleet's logs if it never does. */
-  void waitFor(const std::string& what, const std::function<bool()>& reached) const {
-    const auto limit = std::chrono::steady_clock::now() + kStateLimit;
-    while (!reached()) {
-      if (std::chrono::steady_clock::now() > limit) {
-        throw std::runtime_error("never came: " + what + "\n" + logs());
+  /** Waits until a state is reached; throws with the fleet's logs after kStateTimeout. */
+  void waitFor(const std::string& what, const std::function<bool()>& is_reached) const {
+    const auto deadline = std::chrono::steady_clock::now() + kStateTimeout;
+    while (!is_reached()) {
+      if (std::chrono::steady_clock::now() > deadline) {
+        throw std::runtime_error("timed out waiting for: " + what + "\n" + logs());
       }
       std::this_thread::sleep_for(kPollInterval);
     }
   }
 
-  /** @return the last lines of every process's log. */
+  /** @return the end of each process's log. */
   std::string logs() const {
     std::string text;
     for (const auto& entry : std::filesystem::directory_iterator(directory_)) {
@@ -350,9 +351,9 @@
       }
       std::ifstream log(entry.path());
       std::string content{std::istreambuf_iterator<char>(log), std::istreambuf_iterator<char>()};
-      constexpr std::size_t kShown = 1500;
+      constexpr std::size_t kMaxBytes = 1500;
       text += "--- " + entry.path().filename().string() + "\n" +
-              content.substr(content.size() > kShown ? content.size() - kShown : 0);
+              content.substr(content.size() > kMaxBytes ? content.size() - kMaxBytes : 0);
     }
     return text;
   }
@@ -373,7 +374,7 @@
     return kNames[static_cast<std::size_t>(index) % kNames.size()];
   }
   static std::string balancerName(int index) { return zoneName(index) + "-balancer"; }
-  /** The programs lie beside the test program. */
+  /** The programs are in the folder of the test program. */
   static std::string program(const std::string& name) {
     return std::filesystem::read_symlink("/proc/self/exe").parent_path() / name;
   }
@@ -395,9 +396,9 @@
            "--probe-address", ports_.text(kProbe + index)});
   }
 
-  std::unique_ptr<Process> startCaller(const std::string& name, const std::string& service,
+  std::unique_ptr<Process> startClient(const std::string& name, const std::string& service,
                                        const std::string& service_id,
-                                       const std::vector<std::string>& order) const {
+                                       const std::vector<std::string>& options) const {
     std::vector<std::string> command = {program("lugfork-standin"),
                                         "caller",
                                         "--fabric",
@@ -406,11 +407,11 @@
                                         service,
                                         "--service-id",
                                         service_id};
-    command.insert(command.end(), order.begin(), order.end());
+    command.insert(command.end(), options.begin(), options.end());
     return std::make_unique<Process>(command, file(name));
   }
 
-  /** @return the JSON document at a path, or an empty object where there is none. */
+  /** @return the JSON document at a path, or an empty object if there is none. */
   static json get(Endpoint server, const std::string& path) {
     HttpCall call;
     call.server = server;
