--- a/tests/platform/soak/fault_injection.h
+++ b/tests/platform/soak/fault_injection.h
@@ -31,7 +31,7 @@
 /** Injects planned faults into a soak, and reports to the monitor which violations they excuse. */
 class FaultInjection {
  public:
-  explicit FaultInjection(const FaultTargets& world) : targets_(world) {}
+  explicit FaultInjection(const FaultTargets& targets) : targets_(targets) {}
 
   void inject(const Fault& fault) {
     std::printf("  %s target %u for %lld ms\n", toString(fault.kind), fault.target,
@@ -175,9 +175,9 @@
 
   /** The store is unavailable and loses the backends' items; live backends write theirs again. */
   void loseItems(milliseconds duration) {
-    const milliseconds away = duration + SimulatedBackendPool::kItemTtl;
-    failStore(503, away);
-    reportDisturbance(targets_.pool.loseItems(away, targets_.random));
+    const milliseconds unavailable_time = duration + SimulatedBackendPool::kItemTtl;
+    failStore(503, unavailable_time);
+    reportDisturbance(targets_.pool.loseItems(unavailable_time, targets_.random));
   }
 
   const FaultTargets targets_;
--- a/tests/platform/soak/node_fleet.h
+++ b/tests/platform/soak/node_fleet.h
@@ -72,12 +72,12 @@
     if (keeps) {
       return held->second->process->packetAddress();
     }
-    const std::vector<Node*> choices = ready(zone);
-    if (choices.empty()) {
+    const std::vector<Node*> candidates = ready(zone);
+    if (candidates.empty()) {
       return std::nullopt;
     }
     const std::size_t hash = std::hash<std::uint32_t>()(flow * kHashFactor);
-    Node* chosen = choices[hash % choices.size()];
+    Node* chosen = candidates[hash % candidates.size()];
     balancer_of_flow_[flow] = chosen;
     return chosen->process->packetAddress();
   }
@@ -253,9 +253,9 @@
     while (!ended_) {
       bool is_control = false;
       for (OpenConnection& connection : connections) {
-        const AskResult result = connection.ask(is_control ? "/metrics" : "/ready");
-        answered_on_connections_ += result == AskResult::Answered ? 1 : 0;
-        truncated_answers_ += result == AskResult::Truncated ? 1 : 0;
+        const RequestResult result = connection.sendRequest(is_control ? "/metrics" : "/ready");
+        answered_on_connections_ += result == RequestResult::Answered ? 1 : 0;
+        truncated_answers_ += result == RequestResult::Truncated ? 1 : 0;
         is_control = !is_control;
       }
       std::this_thread::sleep_for(kConnectionInterval);
--- a/tests/platform/soak/open_connection.h
+++ b/tests/platform/soak/open_connection.h
@@ -15,7 +15,7 @@
 namespace lugfork::soak {
 
 /** Result of a request on a persistent connection. */
-enum class AskResult {
+enum class RequestResult {
   /** A complete response was received. */
   Answered,
   /** No byte was received: the connection was closed before the response, or refused. */
@@ -33,16 +33,16 @@
   OpenConnection& operator=(const OpenConnection&) = delete;
 
   /** Sends a request; connects first if there is no connection. */
-  AskResult ask(const std::string& path) {
+  RequestResult sendRequest(const std::string& path) {
     if (socket_ < 0 && !connect()) {
-      return AskResult::Closed;
+      return RequestResult::Closed;
     }
     const std::string request =
         "GET " + path + " HTTP/1.1\r\nHost: balancer\r\nConnection: keep-alive\r\n\r\n";
     const auto sent = ::send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
     if (sent != static_cast<ssize_t>(request.size())) {
       close();
-      return AskResult::Closed;
+      return RequestResult::Closed;
     }
     return receiveAnswer();
   }
@@ -65,20 +65,20 @@
     return false;
   }
 
-  AskResult receiveAnswer() {
+  RequestResult receiveAnswer() {
     std::string answer;
     std::array<char, kReadBytes> chunk{};
     while (true) {
       if (const auto end = endOfAnswer(answer)) {
         if (answer.size() >= *end) {
           closeIfRequested(answer);
-          return AskResult::Answered;
+          return RequestResult::Answered;
         }
       }
       const auto received = ::recv(socket_, chunk.data(), chunk.size(), 0);
       if (received <= 0) {
         close();
-        return answer.empty() ? AskResult::Closed : AskResult::Truncated;
+        return answer.empty() ? RequestResult::Closed : RequestResult::Truncated;
       }
       answer.append(chunk.data(), static_cast<std::size_t>(received));
     }
--- a/tests/platform/soak/packet_client.h
+++ b/tests/platform/soak/packet_client.h
@@ -23,7 +23,7 @@
         sent_times_(sent_times),
         route_(std::move(route)) {}
 
-  std::size_t asked() const { return asked_; }
+  std::size_t requestsSent() const { return sent_requests_; }
   std::size_t served() const { return served_; }
   /** @return number of flows whose opening was sent, and of those that a backend accepted. */
   std::size_t flowsStarted() const { return flows_started_; }
@@ -83,11 +83,11 @@
 
   /** Sets the lookup of a flow's backend by the token that its packets echo. */
   void setBackendNames(std::function<std::string(std::uint32_t echo, Endpoint source)> names) {
-    names_ = std::move(names);
+    backend_names_ = std::move(names);
   }
 
  private:
-  enum class State { Opening, Asking, Pausing };
+  enum class State { Opening, AwaitingAnswer, Pausing };
 
   struct Flow {
     Endpoint source;
@@ -126,23 +126,23 @@
     ++flows_opened_;
     flow.echo = packet.echo;
     flow.next_from_backend = packet.sequence + 1;
-    ask(flow);
+    sendRequest(flow);
   }
 
-  void ask(Flow& flow) {
-    flow.state = State::Asking;
+  void sendRequest(Flow& flow) {
+    flow.state = State::AwaitingAnswer;
     flow.request = next_request_++;
     flow.retransmissions = 0;
     flow.step_at = SoakClock::now();
     --flow.requests_left;
-    ++asked_;
-    monitor_.onAsked(flow.request, flow.service);
+    ++sent_requests_;
+    monitor_.onRequestSent(flow.request, flow.service);
     resend(flow);
   }
 
   void onAnswer(Flow& flow, const EndPacket& packet) {
     flow.echo = packet.echo;
-    if (flow.state != State::Asking || packet.sequence != flow.next_from_backend) {
+    if (flow.state != State::AwaitingAnswer || packet.sequence != flow.next_from_backend) {
       return;
     }
     monitor_.onAnswer(flow.request, std::stoull(packet.data));
@@ -156,15 +156,15 @@
 
   void onReset(const Flow& flow, const EndPacket& packet, Endpoint sender) {
     const bool is_open = flow.state != State::Opening;
-    if (is_open && packet.sum == 0 && names_) {
-      monitor_.onForeignReset(toString(flow.source), names_(flow.echo, flow.source), sender,
+    if (is_open && packet.sum == 0 && backend_names_) {
+      monitor_.onForeignReset(toString(flow.source), backend_names_(flow.echo, flow.source), sender,
                               SoakClock::now());
     }
   }
 
   void sendNext(Flows::iterator entry) {
     if (entry->second.requests_left > 0) {
-      ask(entry->second);
+      sendRequest(entry->second);
     } else {
       finish(entry);
     }
@@ -207,11 +207,11 @@
   PromiseMonitor& monitor_;
   PacketBackend::SentTimes& sent_times_;
   Route route_;
-  std::function<std::string(std::uint32_t, Endpoint)> names_;
+  std::function<std::string(std::uint32_t, Endpoint)> backend_names_;
   Flows flows_;
   std::uint16_t next_port_ = kFirstPort;
   RequestId next_request_ = 1000000;
-  std::size_t asked_ = 0;
+  std::size_t sent_requests_ = 0;
   std::size_t served_ = 0;
   std::size_t flows_started_ = 0;
   std::size_t flows_opened_ = 0;
--- a/tests/platform/soak/packetd_soak.cc
+++ b/tests/platform/soak/packetd_soak.cc
@@ -37,7 +37,8 @@
 void report(std::uint64_t seed, const SoakWorld& world) {
   std::printf("seed %llu: %zu balancers, %zu MB; asked %zu, served %zu; drained %lld ms at most;",
               static_cast<unsigned long long>(seed), world.nodes().size(),
-              world.nodes().peakMemoryKb() / 1024, world.client().asked(), world.client().served(),
+              world.nodes().peakMemoryKb() / 1024, world.client().requestsSent(),
+              world.client().served(),
               static_cast<long long>(world.monitor().maxOpeningDelayAfterDrain().count()));
   for (int number = 0; number <= static_cast<int>(Promise::Last); ++number) {
     const auto promise = static_cast<Promise>(number);
--- a/tests/platform/soak/promise_monitor.cc
+++ b/tests/platform/soak/promise_monitor.cc
@@ -34,16 +34,17 @@
   return "unknown";
 }
 
-void PromiseMonitor::onAsked(RequestId request, const std::string& service) {
-  asked_[request] = {service, 0};
+void PromiseMonitor::onRequestSent(RequestId request, const std::string& service) {
+  sent_requests_[request] = {service, 0};
 }
 
 void PromiseMonitor::onRun(RequestId request, const std::string& service,
                            const std::string& backend) {
   const std::string text = "request " + std::to_string(request) + " at " + backend;
-  const auto found = asked_.find(request);
-  check(Promise::OnlySentRequestsRun, found != asked_.end(), text + " was never sent by a client");
-  if (found == asked_.end()) {
+  const auto found = sent_requests_.find(request);
+  check(Promise::OnlySentRequestsRun, found != sent_requests_.end(),
+        text + " was never sent by a client");
+  if (found == sent_requests_.end()) {
     return;
   }
   ++found->second.runs;
@@ -53,10 +54,9 @@
         text + " belongs to service " + found->second.service + ", ran at service " + service);
 }
 
-void PromiseMonitor::onAnswer(RequestId waiting_for, RequestId answered) {
-  check(
-      Promise::AnswerMatchesRequest, waiting_for == answered,
-      "answer " + std::to_string(answered) + " received instead of " + std::to_string(waiting_for));
+void PromiseMonitor::onAnswer(RequestId expected, RequestId answered) {
+  check(Promise::AnswerMatchesRequest, expected == answered,
+        "answer " + std::to_string(answered) + " received instead of " + std::to_string(expected));
 }
 
 void PromiseMonitor::onForeignReset(const std::string& flow, const std::string& backend,
@@ -138,9 +138,9 @@
       std::to_string(truncated) + " answers truncated, " + std::to_string(answered) + " complete");
 }
 
-void PromiseMonitor::onRecoveryPeriod(std::size_t asked, std::size_t served) {
-  check(Promise::ServiceRecovers, asked > 0 && 4 * served >= asked,
-        std::to_string(served) + " of " + std::to_string(asked) +
+void PromiseMonitor::onRecoveryPeriod(std::size_t requests_sent, std::size_t served) {
+  check(Promise::ServiceRecovers, requests_sent > 0 && 4 * served >= requests_sent,
+        std::to_string(served) + " of " + std::to_string(requests_sent) +
             " requests served after all faults");
 }
 
--- a/tests/platform/soak/promise_monitor.h
+++ b/tests/platform/soak/promise_monitor.h
@@ -62,13 +62,13 @@
   explicit PromiseMonitor(PromiseBounds bounds) : bounds_(bounds) {}
 
   /** A client sends a request for the first time; an empty service matches any. */
-  void onAsked(RequestId request, const std::string& service);
+  void onRequestSent(RequestId request, const std::string& service);
 
   /** A backend runs a request. */
   void onRun(RequestId request, const std::string& service, const std::string& backend);
 
   /** A client receives the answer to a request while it waits for that or another one. */
-  void onAnswer(RequestId waiting_for, RequestId answered);
+  void onAnswer(RequestId expected, RequestId answered);
 
   /** A client receives a balancer's reset on an open flow. */
   void onForeignReset(const std::string& flow, const std::string& backend, Endpoint balancer,
@@ -107,7 +107,7 @@
   void onConnections(std::size_t answered, std::size_t truncated);
 
   /** Number of requests sent and of those served in the recovery period after all faults. */
-  void onRecoveryPeriod(std::size_t asked, std::size_t served);
+  void onRecoveryPeriod(std::size_t requests_sent, std::size_t served);
 
   const std::vector<Violation>& violations() const { return violations_; }
   std::size_t checks(Promise promise) const;
@@ -117,7 +117,7 @@
   std::size_t minOpenedPercent() const { return min_opened_percent_; }
 
  private:
-  struct Asked {
+  struct SentRequest {
     std::string service;
     int runs = 0;
   };
@@ -130,7 +130,7 @@
   void check(Promise promise, bool kept, const std::string& text);
 
   const PromiseBounds bounds_;
-  std::map<RequestId, Asked> asked_;
+  std::map<RequestId, SentRequest> sent_requests_;
   std::map<std::string, SoakTime> draining_;
   std::map<Endpoint, Moved> routes_;
   std::map<std::string, SoakTime> backends_disturbed_until_;
--- a/tests/platform/soak/promise_monitor_test.cc
+++ b/tests/platform/soak/promise_monitor_test.cc
@@ -16,7 +16,7 @@
 const SoakTime kStart = SoakTime(seconds(1000));
 
 struct MonitorHarness {
-  MonitorHarness() { monitor.onAsked(1, "a"); }
+  MonitorHarness() { monitor.onRequestSent(1, "a"); }
   bool violates(Promise promise) const {
     return monitor.violations().size() == 1 && monitor.violations()[0].promise == promise;
   }
--- a/tests/platform/soak/soak_world.h
+++ b/tests/platform/soak/soak_world.h
@@ -68,10 +68,10 @@
     const SoakTime settled = SoakClock::now() + kRecovery;
     runUntil(settled);
     doPlannedWork();
-    const std::size_t asked = client_.asked();
+    const std::size_t requests_sent = client_.requestsSent();
     const std::size_t served = client_.served();
     runUntil(settled + kRecoveryPeriod);
-    monitor_.onRecoveryPeriod(client_.asked() - asked, client_.served() - served);
+    monitor_.onRecoveryPeriod(client_.requestsSent() - requests_sent, client_.served() - served);
     monitor_.onConnections(nodes_->answeredOnConnections(), nodes_->truncatedAnswers());
   }
 
