--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -12,7 +12,7 @@
 /** Most bytes of load in one message. */
 constexpr std::size_t kMaxLoadBytes = 1000;
 /** Bytes of changes of state that any gossip may carry, also on an overdrawn budget. */
-constexpr std::size_t kStateBytes = 4 * LoadSpread::kObservationBytes;
+constexpr std::size_t kStateBytes = 4 * LoadGossip::kObservationBytes;
 /** Most bytes of rumours about members in one message, and what it has on an overdrawn budget. */
 constexpr std::size_t kMaxRumourBytes = 400;
 constexpr std::size_t kMinRumourBytes = 100;
@@ -44,7 +44,7 @@
 
 std::size_t estimatedBytes(const GossipHeader& gossip) {
   return kHeaderBytes + kMemberBytes * gossip.members.size() +
-         LoadSpread::kObservationBytes * gossip.observations.size();
+         LoadGossip::kObservationBytes * gossip.observations.size();
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
 
 void Node::takeFirstDocument() {
   const bool peers_may_know_better =
-      store_.inForce() == nullptr && !join_.mayTakeFromPlatform(first_document_version_);
+      store_.inForce() == nullptr && !join_.mayAdoptFromPlatform(first_document_version_);
   if (first_document_.empty() || peers_may_know_better) {
     return;
   }
@@ -129,7 +129,7 @@
     membership_.onPause();
     next_confirmation_ = MonotonicTime();
     platform_requested_at_ = MonotonicTime();
-    configuration_.readPlatformSoon();
+    configuration_.readPlatformAtNextTick();
   }
   membership_.onTick();
   configuration_.onTick(membership_.liveCount() + 1);
@@ -178,12 +178,12 @@
   const MonotonicTime now = time_source_.monotonicTime();
   if (now >= next_prompted_read_) {
     next_prompted_read_ = now + kPromptedReadInterval;
-    configuration_.readPlatformSoon();
+    configuration_.readPlatformAtNextTick();
   }
 }
 
 void Node::onBackendDraining(BackendId backend) {
-  if (load_spread_.onOwnWord(backend)) {
+  if (load_spread_.onDrainAnnounced(backend)) {
     log_.write(LogLevel::Info, "node", "backend_draining", {{"backend", backend.value()}});
   }
 }
@@ -326,7 +326,7 @@
   // Changes of state always have room, then rumours about members, then load.
   gossip.observations = load_spread_.take(ObservationScope::StateChanges, kStateBytes, audience());
   const std::size_t rumour_room = std::min(kMaxRumourBytes, roomAfter(gossip));
-  gossip.members = membership_.takeRumours(about, std::max(kMinRumourBytes, rumour_room));
+  gossip.members = membership_.takeUpdates(about, std::max(kMinRumourBytes, rumour_room));
   if (scope == ObservationScope::All) {
     const std::size_t load_room = std::min(kMaxLoadBytes, roomAfter(gossip));
     for (const BackendObservation& observation :
@@ -344,9 +344,9 @@
   return available > used ? available - used : 0;
 }
 
-ObservationAudience Node::audience() const {
+ReceiverCounts Node::audience() const {
   const std::size_t fleet = membership_.liveCount();
-  return {fleet, isSmallFleet() ? fleet : membership_.liveInZone()};
+  return {fleet, isSmallFleet() ? fleet : membership_.liveInLocalZone()};
 }
 
 bool Node::isSmallFleet() const {
@@ -358,7 +358,7 @@
     return;
   }
   next_confirmation_ = now + kConfirmationInterval;
-  membership_.pingSome(kConfirmingPeers);
+  membership_.pingRandomMembers(kConfirmingPeers);
 }
 
 void Node::pushNews() {
@@ -384,7 +384,7 @@
   if (peers.empty() || load_spread_.size() == 0) {
     return;
   }
-  if (budget_.available() < kHeaderBytes + LoadSpread::kObservationBytes) {
+  if (budget_.available() < kHeaderBytes + LoadGossip::kObservationBytes) {
     return;
   }
   GossipHeader gossip = makeGossip(&peers.front(), ObservationScope::All);
--- a/src/balancer/node.h
+++ b/src/balancer/node.h
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "balancer/machine_list.h"
-#include "cluster/configuration_spread.h"
+#include "cluster/configuration_sync.h"
 #include "cluster/control_budget.h"
 #include "cluster/join_controller.h"
-#include "cluster/load_spread.h"
+#include "cluster/load_gossip.h"
 #include "cluster/membership.h"
 #include "cluster/probe_assignment.h"
 #include "cluster/view_lease.h"
@@ -50,11 +50,11 @@
   PlacementSettings placement;
   LoadEstimateSettings load;
   MembershipSettings membership;
-  ConfigurationSpreadSettings configuration;
+  ConfigurationSyncSettings configuration;
   ViewLeaseSettings lease;
   JoinSettings join;
   ProbeSettings probes;
-  LoadSpreadSettings load_spread;
+  LoadGossipSettings load_spread;
 };
 
 /** How the node stands with the rest of the fleet. */
@@ -75,7 +75,7 @@
  * One balancer without its sockets and clocks: inputs come as calls, outputs go to NodeOutputs.
  * Runs in the daemon, in the simulator and in tests of the cluster.
  */
-class Node : private FlowRouterHost, private MembershipHost, private ConfigurationSpreadHost {
+class Node : private FlowRouterHost, private MembershipHost, private ConfigurationSyncHost {
  public:
   Node(NodeSettings settings, const TimeSource& time_source, RandomGenerator& random,
        NodeOutputs& outputs, EventLog& log);
@@ -104,7 +104,7 @@
   const ConfigurationStore& configuration() const { return store_; }
   const FlowCounters& flowCounters() const { return router_.counters(); }
   const BackendLoadTable& loads() const { return loads_; }
-  const LoadSpread& loadSpread() const { return load_spread_; }
+  const LoadGossip& loadSpread() const { return load_spread_; }
   const Membership& membership() const { return membership_; }
   const ProbeSchedule& probes() const { return probes_; }
 
@@ -120,7 +120,7 @@
   void sendMembersRequest(Endpoint peer, std::uint32_t from_index) override;
   void onMemberChanged(const MemberRecord& member, MemberState previous) override;
 
-  // ConfigurationSpreadHost
+  // ConfigurationSyncHost
   void sendConfigurationMessage(Endpoint peer, const PeerMessage& message) override;
   void readConfigurationFromPlatform() override;
   void onConfigurationAdopted() override;
@@ -144,7 +144,7 @@
   GossipHeader makeGossip(const MemberRecord* about, ObservationScope scope);
   /** @return bytes that the budget leaves for more in a message. */
   std::size_t roomAfter(const GossipHeader& gossip);
-  ObservationAudience audience() const;
+  ReceiverCounts audience() const;
   bool isSmallFleet() const;
 
   void confirmView(MonotonicTime now);
@@ -167,7 +167,7 @@
   PlacementEngine placement_;
   FlowRouter router_;
   Membership membership_;
-  ConfigurationSpread configuration_;
+  ConfigurationSync configuration_;
   ViewLease lease_;
   JoinController join_;
   /** The platform's document, until it is clear that no peer knows a newer one. */
@@ -175,7 +175,7 @@
   ConfigVersion first_document_version_;
   MonotonicTime next_prompted_read_;
   ProbeSchedule probes_;
-  LoadSpread load_spread_;
+  LoadGossip load_spread_;
   ControlBudget budget_;
   MonotonicTime next_gossip_;
   MonotonicTime next_confirmation_;
--- a/src/cluster/configuration_spread.cc
+++ b/src/cluster/configuration_sync.cc
@@ -1,13 +1,12 @@
-#include "cluster/configuration_spread.h"
+#include "cluster/configuration_sync.h"
 
 #include <algorithm>
 
 namespace lugfork {
 
-ConfigurationSpread::ConfigurationSpread(ConfigurationSpreadSettings settings,
-                                         ConfigurationStore& store, const TimeSource& time_source,
-                                         RandomGenerator& random, ConfigurationSpreadHost& host,
-                                         EventLog& log)
+ConfigurationSync::ConfigurationSync(ConfigurationSyncSettings settings, ConfigurationStore& store,
+                                     const TimeSource& time_source, RandomGenerator& random,
+                                     ConfigurationSyncHost& host, EventLog& log)
     : settings_(settings),
       store_(store),
       time_source_(time_source),
@@ -15,20 +14,20 @@
       host_(host),
       log_(log) {}
 
-void ConfigurationSpread::onPeerConfiguration(Endpoint peer, const ConfigurationId& theirs) {
-  if (theirs > store_.id()) {
+void ConfigurationSync::onPeerConfiguration(Endpoint peer, const ConfigurationId& remote) {
+  if (remote > store_.id()) {
     request(peer);
-  } else if (theirs.version == store_.version() && theirs != store_.id()) {
-    report(OfferOutcome::ConflictKept, "peer", theirs);
+  } else if (remote.version == store_.version() && remote != store_.id()) {
+    recordOutcome(OfferOutcome::ConflictKept, "peer", remote);
   }
 }
 
-bool ConfigurationSpread::onNewerVersionSeen(ConfigVersion version) {
+bool ConfigurationSync::onNewerVersionSeen(ConfigVersion version) {
   const MonotonicTime now = time_source_.monotonicTime();
   return version > store_.version() && now >= next_request_ && !fetch_;
 }
 
-void ConfigurationSpread::request(Endpoint peer) {
+void ConfigurationSync::request(Endpoint peer) {
   const MonotonicTime now = time_source_.monotonicTime();
   if (now < next_request_ || fetch_) {
     return;
@@ -37,7 +36,7 @@
   host_.sendConfigurationMessage(peer, ConfigurationRequest{store_.id()});
 }
 
-void ConfigurationSpread::onRequest(Endpoint from, const ConfigurationRequest& request) {
+void ConfigurationSync::onRequest(Endpoint from, const ConfigurationRequest& request) {
   if (request.have >= store_.id()) {
     return;
   }
@@ -49,23 +48,23 @@
                                  ConfigurationSummary{store_.id(), store_.bucketIndex().digests});
 }
 
-void ConfigurationSpread::onDelta(Endpoint, const ConfigurationDelta& delta) {
+void ConfigurationSync::onDelta(Endpoint, const ConfigurationDelta& delta) {
   next_request_ = MonotonicTime();
-  report(store_.offerDelta(delta), "peer", delta.to);
+  recordOutcome(store_.offerDelta(delta), "peer", delta.to);
 }
 
-void ConfigurationSpread::onSummary(Endpoint from, const ConfigurationSummary& summary) {
+void ConfigurationSync::onSummary(Endpoint from, const ConfigurationSummary& summary) {
   const std::size_t count = summary.bucket_digests.size();
   if (summary.configuration <= store_.id() || fetch_ || count == 0) {
     return;
   }
   const auto bucket_count = static_cast<std::uint32_t>(count);
   Fetch fetch{from, summary.configuration, bucket_count, {}, {}, {}, time_source_.monotonicTime()};
-  const BucketIndex own = store_.inForce() == nullptr
-                              ? BucketIndex{{}, std::vector<std::uint64_t>(count)}
-                              : makeBucketIndex(*store_.inForce(), bucket_count);
+  const BucketIndex local_index = store_.inForce() == nullptr
+                                      ? BucketIndex{{}, std::vector<std::uint64_t>(count)}
+                                      : makeBucketIndex(*store_.inForce(), bucket_count);
   for (std::uint32_t bucket = 0; bucket < bucket_count; ++bucket) {
-    if (own.digests[bucket] != summary.bucket_digests[bucket]) {
+    if (local_index.digests[bucket] != summary.bucket_digests[bucket]) {
       fetch.wanted.insert(bucket);
     }
   }
@@ -74,7 +73,7 @@
   requestBuckets();
 }
 
-void ConfigurationSpread::onBucketRequest(Endpoint from, const BucketRequest& request) {
+void ConfigurationSync::onBucketRequest(Endpoint from, const BucketRequest& request) {
   const BucketIndex& index = store_.bucketIndex();
   if (request.configuration != store_.id() || request.bucket_count != index.keys.size()) {
     return;
@@ -92,7 +91,7 @@
   host_.sendConfigurationMessage(from, reply);
 }
 
-void ConfigurationSpread::onBucketReply(Endpoint from, const BucketReply& reply) {
+void ConfigurationSync::onBucketReply(Endpoint from, const BucketReply& reply) {
   if (!fetch_ || fetch_->peer != from || fetch_->target != reply.configuration) {
     return;
   }
@@ -111,13 +110,13 @@
   requestBuckets();
 }
 
-void ConfigurationSpread::onPlatformDocument(const std::string& json_text) {
+void ConfigurationSync::onPlatformDocument(const std::string& json_text) {
   const OfferOutcome outcome = store_.offer(json_text);
   platform_is_current_ = outcome != OfferOutcome::Older && outcome != OfferOutcome::Invalid;
-  report(outcome, "platform", store_.id());
+  recordOutcome(outcome, "platform", store_.id());
 }
 
-void ConfigurationSpread::onTick(std::size_t fleet_size) {
+void ConfigurationSync::onTick(std::size_t fleet_size) {
   const MonotonicTime now = time_source_.monotonicTime();
   if (fetch_ && now - fetch_->last_progress >= settings_.fetch_timeout) {
     log_.write(LogLevel::Warn, "configuration", "configuration_fetch_timeout",
@@ -135,15 +134,16 @@
   }
 }
 
-void ConfigurationSpread::report(OfferOutcome outcome, const char* source,
-                                 const ConfigurationId& offered) {
+void ConfigurationSync::recordOutcome(OfferOutcome outcome, const char* source,
+                                      const ConfigurationId& offered) {
   const bool conflict =
       outcome == OfferOutcome::ConflictAdopted || outcome == OfferOutcome::ConflictKept;
   // The platform gives the same document at each read: a conflict is reported once.
-  const bool known = outcome == OfferOutcome::ConflictKept && offered.version == last_conflict_;
-  if (conflict && !known) {
+  const bool already_recorded =
+      outcome == OfferOutcome::ConflictKept && offered.version == last_conflict_version_;
+  if (conflict && !already_recorded) {
     ++conflicts_;
-    last_conflict_ = offered.version;
+    last_conflict_version_ = offered.version;
     log_.write(
         LogLevel::Error, "configuration", "configuration_conflict",
         {{"source", source}, {"version", offered.version.value()}, {"outcome", toString(outcome)}});
@@ -161,7 +161,7 @@
   }
 }
 
-void ConfigurationSpread::requestBuckets() {
+void ConfigurationSync::requestBuckets() {
   if (fetch_->missing.empty()) {
     finishFetch();
     return;
@@ -176,7 +176,7 @@
   host_.sendConfigurationMessage(fetch_->peer, request);
 }
 
-void ConfigurationSpread::finishFetch() {
+void ConfigurationSync::finishFetch() {
   const Fetch fetch = std::move(*fetch_);
   fetch_.reset();
   next_request_ = MonotonicTime();
@@ -188,13 +188,14 @@
       }
     }
   }
-  report(store_.offerResources(fetch.target, resources), "peer", fetch.target);
+  recordOutcome(store_.offerResources(fetch.target, resources), "peer", fetch.target);
 }
 
-Duration ConfigurationSpread::platformReadInterval(std::size_t fleet_size) const {
-  const double share = static_cast<double>(fleet_size) / settings_.fleet_reads_per_second;
-  const Duration shared(static_cast<std::int64_t>(share * 1e6));
-  return std::max(settings_.platform_interval, shared);
+Duration ConfigurationSync::platformReadInterval(std::size_t fleet_size) const {
+  const double interval_seconds =
+      static_cast<double>(fleet_size) / settings_.max_fleet_reads_per_second;
+  const Duration fleet_interval(static_cast<std::int64_t>(interval_seconds * 1e6));
+  return std::max(settings_.min_platform_interval, fleet_interval);
 }
 
 }  // namespace lugfork
--- a/src/cluster/configuration_spread.h
+++ b/src/cluster/configuration_sync.h
@@ -13,7 +13,7 @@
 namespace lugfork {
 
 /** Tunables of the spread of the configuration. */
-struct ConfigurationSpreadSettings {
+struct ConfigurationSyncSettings {
   /** A request to a peer that brought nothing may be repeated after this time. */
   Duration request_timeout = milliseconds(500);
   /** Buckets asked for in one request. */
@@ -21,15 +21,15 @@
   /** A fetch by buckets in which nothing arrived for this time is given up. */
   Duration fetch_timeout = seconds(2);
   /** Reads of the platform by the whole fleet a second, at most. */
-  double fleet_reads_per_second = 4;
+  double max_fleet_reads_per_second = 4;
   /** Shortest mean time between two reads of one node. */
-  Duration platform_interval = seconds(1);
+  Duration min_platform_interval = seconds(1);
 };
 
 /** Sends what the spread asks for, and hears of adoptions. */
-class ConfigurationSpreadHost {
+class ConfigurationSyncHost {
  public:
-  virtual ~ConfigurationSpreadHost() = default;
+  virtual ~ConfigurationSyncHost() = default;
   virtual void sendConfigurationMessage(Endpoint peer, const PeerMessage& message) = 0;
   /** Asks for a read of the platform's configuration. */
   virtual void readConfigurationFromPlatform() = 0;
@@ -40,14 +40,14 @@
  * Brings the configuration with the highest version to every node: whoever sees a newer one asks,
  * and gets a delta, or where no delta fits, the buckets of resources that differ.
  */
-class ConfigurationSpread {
+class ConfigurationSync {
  public:
-  ConfigurationSpread(ConfigurationSpreadSettings settings, ConfigurationStore& store,
-                      const TimeSource& time_source, RandomGenerator& random,
-                      ConfigurationSpreadHost& host, EventLog& log);
+  ConfigurationSync(ConfigurationSyncSettings settings, ConfigurationStore& store,
+                    const TimeSource& time_source, RandomGenerator& random,
+                    ConfigurationSyncHost& host, EventLog& log);
 
   /** Takes what a peer says is in force there. */
-  void onPeerConfiguration(Endpoint peer, const ConfigurationId& theirs);
+  void onPeerConfiguration(Endpoint peer, const ConfigurationId& remote);
 
   /** A token shows a newer version; a peer should be asked. @return true if a request may go. */
   bool onNewerVersionSeen(ConfigVersion version);
@@ -66,7 +66,7 @@
   void onTick(std::size_t fleet_size);
 
   /** Reads the platform at the next tick. */
-  void readPlatformSoon() { next_platform_read_ = MonotonicTime(); }
+  void readPlatformAtNextTick() { next_platform_read_ = MonotonicTime(); }
 
   /** @return true if the platform's last document was no older than the one in force. */
   bool platformIsCurrent() const { return platform_is_current_; }
@@ -86,24 +86,24 @@
     MonotonicTime last_progress;
   };
 
-  void report(OfferOutcome outcome, const char* source, const ConfigurationId& offered);
+  void recordOutcome(OfferOutcome outcome, const char* source, const ConfigurationId& offered);
   void requestBuckets();
   void finishFetch();
   /** @return mean time between two reads of this node. */
   Duration platformReadInterval(std::size_t fleet_size) const;
 
-  const ConfigurationSpreadSettings settings_;
+  const ConfigurationSyncSettings settings_;
   ConfigurationStore& store_;
   const TimeSource& time_source_;
   RandomGenerator& random_;
-  ConfigurationSpreadHost& host_;
+  ConfigurationSyncHost& host_;
   EventLog& log_;
   std::optional<Fetch> fetch_;
   MonotonicTime next_request_;
   MonotonicTime next_platform_read_;
   bool platform_is_current_ = false;
   std::uint64_t conflicts_ = 0;
-  ConfigVersion last_conflict_;
+  ConfigVersion last_conflict_version_;
 };
 
 }  // namespace lugfork
--- a/src/cluster/join_controller.cc
+++ b/src/cluster/join_controller.cc
@@ -12,48 +12,48 @@
     return;
   }
   answered_.insert(name);
-  highest_seen_ = std::max(highest_seen_, version);
+  max_seen_version_ = std::max(max_seen_version_, version);
 }
 
 void JoinController::onMachineList(std::size_t listed_peers) {
-  list_known_ = true;
+  list_received_ = true;
   listed_peers_ = listed_peers;
 }
 
-bool JoinController::mayTakeFromPlatform(ConfigVersion version) const {
-  if (waited() >= settings_.limit) {
+bool JoinController::mayAdoptFromPlatform(ConfigVersion version) const {
+  if (waited() >= settings_.timeout) {
     return true;
   }
-  return version >= highest_seen_ && enoughPeersAnswered();
+  return version >= max_seen_version_ && enoughPeersAnswered();
 }
 
 void JoinController::onTick() {
   if (state_ == JoinState::Joined) {
     return;
   }
-  if (isSettled()) {
+  if (isUpToDate()) {
     state_ = JoinState::Joined;
     answered_.clear();
-  } else if (waited() >= settings_.limit && version_ != ConfigVersion()) {
+  } else if (waited() >= settings_.timeout && version_ != ConfigVersion()) {
     state_ = JoinState::Degraded;
   }
 }
 
 bool JoinController::enoughPeersAnswered() const {
-  if (answered_.size() >= settings_.peers_needed) {
+  if (answered_.size() >= settings_.min_peers) {
     return true;
   }
-  if (list_known_ && answered_.size() >= listed_peers_) {
+  if (list_received_ && answered_.size() >= listed_peers_) {
     return true;
   }
-  return !answered_.empty() && waited() >= settings_.grace;
+  return !answered_.empty() && waited() >= settings_.grace_period;
 }
 
-bool JoinController::isSettled() const {
-  if (version_ == ConfigVersion() || version_ < highest_seen_) {
+bool JoinController::isUpToDate() const {
+  if (version_ == ConfigVersion() || version_ < max_seen_version_) {
     return false;
   }
-  if (answered_.size() >= settings_.peers_needed) {
+  if (answered_.size() >= settings_.min_peers) {
     return true;
   }
   return platform_answered_ && enoughPeersAnswered();
--- a/src/cluster/join_controller.h
+++ b/src/cluster/join_controller.h
@@ -10,11 +10,11 @@
 /** Tunables of the join. */
 struct JoinSettings {
   /** Peers that must have answered, or all listed ones where there are fewer. */
-  std::size_t peers_needed = 2;
+  std::size_t min_peers = 2;
   /** After this time one peer and the platform together are enough. */
-  Duration grace = seconds(1);
+  Duration grace_period = seconds(1);
   /** After this time the node places with what it has. */
-  Duration limit = seconds(5);
+  Duration timeout = seconds(5);
 };
 
 /** How far a started node has come. */
@@ -46,7 +46,7 @@
    * @return true if a first document of that version may be taken from the platform: peers that
    * could know a newer one have answered, or the wait is over.
    */
-  bool mayTakeFromPlatform(ConfigVersion version) const;
+  bool mayAdoptFromPlatform(ConfigVersion version) const;
 
   /** Re-evaluates the state; to be called from the node's tick. */
   void onTick();
@@ -56,16 +56,16 @@
  private:
   Duration waited() const { return time_source_.monotonicTime() - started_at_; }
   bool enoughPeersAnswered() const;
-  bool isSettled() const;
+  bool isUpToDate() const;
 
   const JoinSettings settings_;
   const TimeSource& time_source_;
   const MonotonicTime started_at_;
   std::set<std::string> answered_;
-  ConfigVersion highest_seen_;
+  ConfigVersion max_seen_version_;
   ConfigVersion version_;
   bool platform_answered_ = false;
-  bool list_known_ = false;
+  bool list_received_ = false;
   std::size_t listed_peers_ = 0;
   JoinState state_ = JoinState::Joining;
 };
--- a/src/cluster/load_spread.cc
+++ b/src/cluster/load_gossip.cc
@@ -1,4 +1,4 @@
-#include "cluster/load_spread.h"
+#include "cluster/load_gossip.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,24 +8,24 @@
 namespace {
 
 /** Smallest difference of a count that can be significant. */
-constexpr double kSmallestChange = 2;
+constexpr double kMinSignificantChange = 2;
 /** Reports from the future, beyond this clock skew, are taken as of now. */
-constexpr std::uint64_t kMaxSkewMilliseconds = 1000;
+constexpr std::uint64_t kMaxClockSkewMs = 1000;
 
 bool isHealthy(const BackendObservation& observation) {
   return observation.report.reachable && !observation.report.draining && !observation.own_word;
 }
 
-std::uint64_t startedAt(const BackendReport& report) {
+std::uint64_t startedAtMs(const BackendReport& report) {
   return report.measured_at_ms - std::min<std::uint64_t>(report.measured_at_ms, report.uptime_ms);
 }
 
 }  // namespace
 
-bool LoadSpread::onObservation(const BackendObservation& observation) {
+bool LoadGossip::onObservation(const BackendObservation& observation) {
   BackendObservation taken = observation;
   taken.report.measured_at_ms =
-      std::min(taken.report.measured_at_ms, nowMilliseconds() + kMaxSkewMilliseconds);
+      std::min(taken.report.measured_at_ms, nowMilliseconds() + kMaxClockSkewMs);
   const auto found = entries_.find(taken.report.backend);
   if (found == entries_.end()) {
     Entry& entry = entries_[taken.report.backend];
@@ -38,14 +38,14 @@
   Entry& entry = found->second;
   const BackendObservation known = entry.observation;
   const bool newer = taken.report.measured_at_ms > known.report.measured_at_ms;
-  const bool first_word = taken.own_word && !known.own_word &&
-                          startedAt(known.report) <= taken.report.measured_at_ms &&
-                          !showsRestart(known.report, taken.report);
-  if (!newer && !first_word) {
+  const bool first_announcement = taken.own_word && !known.own_word &&
+                                  startedAtMs(known.report) <= taken.report.measured_at_ms &&
+                                  !indicatesRestart(known.report, taken.report);
+  if (!newer && !first_announcement) {
     return false;
   }
   // The back end's own word stands until the back end has started again.
-  const bool restarted = newer && showsRestart(taken.report, known.report);
+  const bool restarted = newer && indicatesRestart(taken.report, known.report);
   taken.own_word = taken.own_word || (known.own_word && !restarted);
   if (!newer) {
     taken.report = known.report;
@@ -64,7 +64,7 @@
   return true;
 }
 
-bool LoadSpread::onOwnWord(BackendId backend) {
+bool LoadGossip::onDrainAnnounced(BackendId backend) {
   BackendObservation observation;
   const BackendObservation* known = find(backend);
   if (known != nullptr) {
@@ -81,17 +81,17 @@
   return onObservation(observation);
 }
 
-std::vector<BackendObservation> LoadSpread::take(ObservationScope scope, std::size_t bytes,
-                                                 const ObservationAudience& audience) {
+std::vector<BackendObservation> LoadGossip::take(ObservationScope scope, std::size_t bytes,
+                                                 const ReceiverCounts& receivers) {
   std::vector<Entry*> candidates;
   const std::uint64_t now_ms = nowMilliseconds();
   const auto lifetime_ms = static_cast<std::uint64_t>(
-      std::chrono::duration_cast<milliseconds>(settings_.report_lifetime).count());
+      std::chrono::duration_cast<milliseconds>(settings_.report_ttl).count());
   for (auto& [backend, entry] : entries_) {
     const bool state = entry.priority == ObservationPriority::StateChange;
     const bool in_scope =
         scope == ObservationScope::All || state == (scope == ObservationScope::StateChanges);
-    const bool unsent = entry.transmissions < transmissionLimit(entry.priority, audience);
+    const bool unsent = entry.transmissions < transmissionLimit(entry.priority, receivers);
     entry.state_pending = entry.state_pending && unsent;
     const bool current = entry.observation.report.measured_at_ms + lifetime_ms > now_ms;
     if (in_scope && unsent && (current || entry.observation.own_word)) {
@@ -115,12 +115,12 @@
   return taken;
 }
 
-const BackendObservation* LoadSpread::find(BackendId backend) const {
+const BackendObservation* LoadGossip::find(BackendId backend) const {
   const auto found = entries_.find(backend);
   return found == entries_.end() ? nullptr : &found->second.observation;
 }
 
-std::vector<BackendObservation> LoadSpread::unhealthy(std::size_t limit) const {
+std::vector<BackendObservation> LoadGossip::unhealthy(std::size_t limit) const {
   std::vector<BackendObservation> found;
   for (const auto& [backend, entry] : entries_) {
     if (!isHealthy(entry.observation)) {
@@ -135,18 +135,18 @@
   return found;
 }
 
-bool LoadSpread::showsRestart(const BackendReport& report, const BackendReport& known) {
+bool LoadGossip::indicatesRestart(const BackendReport& report, const BackendReport& known) {
   // Start times of one process differ by the delay of the probes and the clocks' skew.
-  return report.reachable && startedAt(report) > known.measured_at_ms;
+  return report.reachable && startedAtMs(report) > known.measured_at_ms;
 }
 
-ObservationPriority LoadSpread::classify(const Entry& entry,
+ObservationPriority LoadGossip::classify(const Entry& entry,
                                          const BackendObservation& observation) const {
   const BackendReport& before = entry.observation.report;
   const BackendReport& after = observation.report;
   const bool state_changed =
       before.reachable != after.reachable || before.draining != after.draining ||
-      entry.observation.own_word != observation.own_word || showsRestart(after, before);
+      entry.observation.own_word != observation.own_word || indicatesRestart(after, before);
   if (state_changed) {
     return ObservationPriority::StateChange;
   }
@@ -156,25 +156,26 @@
   return significant ? ObservationPriority::LoadChange : ObservationPriority::Refresh;
 }
 
-bool LoadSpread::isSignificant(std::uint32_t before, std::uint32_t after) const {
+bool LoadGossip::isSignificant(std::uint32_t before, std::uint32_t after) const {
   const double difference = std::abs(static_cast<double>(after) - static_cast<double>(before));
-  return difference >= std::max(kSmallestChange, settings_.significant_change * before);
+  return difference >=
+         std::max(kMinSignificantChange, settings_.significant_change_fraction * before);
 }
 
-std::uint32_t LoadSpread::transmissionLimit(ObservationPriority priority,
-                                            const ObservationAudience& audience) const {
+std::uint32_t LoadGossip::transmissionLimit(ObservationPriority priority,
+                                            const ReceiverCounts& receivers) const {
   const bool state = priority == ObservationPriority::StateChange;
-  const std::size_t receivers = state ? audience.fleet : audience.zone;
-  const double scale = std::ceil(std::log2(static_cast<double>(receivers + 2)));
+  const std::size_t receiver_count = state ? receivers.fleet : receivers.zone;
+  const double scale = std::ceil(std::log2(static_cast<double>(receiver_count + 2)));
   const double factor = state ? settings_.retransmit_factor : 1;
   return static_cast<std::uint32_t>(factor * scale);
 }
 
-std::uint64_t LoadSpread::nowMilliseconds() const {
+std::uint64_t LoadGossip::nowMilliseconds() const {
   return toUnixMilliseconds(time_source_.systemTime());
 }
 
-void LoadSpread::queue(Entry& entry, ObservationPriority priority) {
+void LoadGossip::queue(Entry& entry, ObservationPriority priority) {
   entry.priority = priority;
   entry.transmissions = 0;
   entry.state_pending = priority == ObservationPriority::StateChange;
--- a/src/cluster/load_spread.h
+++ b/src/cluster/load_gossip.h
@@ -9,13 +9,13 @@
 namespace lugfork {
 
 /** Tunables of the spread of health and load. */
-struct LoadSpreadSettings {
+struct LoadGossipSettings {
   /** Change of open connections or requests that counts as significant. */
-  double significant_change = 0.2;
+  double significant_change_fraction = 0.2;
   /** An unchanged report is sent on again after this time. */
   Duration refresh_interval = seconds(1);
   /** A report older than this is not sent any more. */
-  Duration report_lifetime = seconds(30);
+  Duration report_ttl = seconds(30);
   /** A report of state is sent this factor times log2(receivers) times, others once less often. */
   double retransmit_factor = 3;
 };
@@ -32,7 +32,7 @@
 };
 
 /** Nodes that observations are meant for; sets the number of transmissions. */
-struct ObservationAudience {
+struct ReceiverCounts {
   /** Receivers of changes of state. */
   std::size_t fleet = 0;
   /** Receivers of load. */
@@ -43,9 +43,9 @@
  * Spreads reports about back ends by gossip: changes of state first and everywhere, changes of
  * load next, refreshes with what is left. Holds one observation for each back end it heard of.
  */
-class LoadSpread {
+class LoadGossip {
  public:
-  LoadSpread(LoadSpreadSettings settings, const TimeSource& time_source)
+  LoadGossip(LoadGossipSettings settings, const TimeSource& time_source)
       : settings_(settings), time_source_(time_source) {}
 
   /**
@@ -55,14 +55,14 @@
   bool onObservation(const BackendObservation& observation);
 
   /** Notes that the back end announced on the data path to drain. @return true if it is news. */
-  bool onOwnWord(BackendId backend);
+  bool onDrainAnnounced(BackendId backend);
 
   /**
    * Takes observations for one message, most important first.
    * @param bytes room in the message.
    */
   std::vector<BackendObservation> take(ObservationScope scope, std::size_t bytes,
-                                       const ObservationAudience& audience);
+                                       const ReceiverCounts& receivers);
 
   /** @return what is known of back ends that should get no new work, at most the given number. */
   std::vector<BackendObservation> unhealthy(std::size_t limit) const;
@@ -91,15 +91,15 @@
   };
 
   /** @return true if the report shows another process of the back end than the one known. */
-  static bool showsRestart(const BackendReport& report, const BackendReport& known);
+  static bool indicatesRestart(const BackendReport& report, const BackendReport& known);
   ObservationPriority classify(const Entry& entry, const BackendObservation& observation) const;
   bool isSignificant(std::uint32_t before, std::uint32_t after) const;
   std::uint32_t transmissionLimit(ObservationPriority priority,
-                                  const ObservationAudience& audience) const;
+                                  const ReceiverCounts& receivers) const;
   std::uint64_t nowMilliseconds() const;
   void queue(Entry& entry, ObservationPriority priority);
 
-  const LoadSpreadSettings settings_;
+  const LoadGossipSettings settings_;
   const TimeSource& time_source_;
   std::unordered_map<BackendId, Entry> entries_;
   bool urgent_ = false;
--- a/src/cluster/membership.cc
+++ b/src/cluster/membership.cc
@@ -11,7 +11,7 @@
 /** Encoded size of a record without its two names. */
 constexpr std::size_t kRecordOverheadBytes = 24;
 /** Intervals after which an unanswered ping is forgotten. */
-constexpr int kPingLifetimeIntervals = 10;
+constexpr int kPingTtlIntervals = 10;
 /** Random draws for each wanted member before all members are looked through. */
 constexpr std::size_t kDrawsPerMember = 4;
 
@@ -55,7 +55,7 @@
     const auto interval = static_cast<std::uint64_t>(settings_.probe_interval.count());
     finishProbe();
     expireSuspects();
-    forgetOldPings();
+    expirePings();
     next_probe_at_ = now + (first ? Duration(random_.below(interval)) : settings_.probe_interval);
     probeNext();
   }
@@ -63,14 +63,14 @@
     next_reconnect_at_ =
         now + (live_count_ == 0 ? settings_.join_interval : settings_.reconnect_interval);
     reconnect();
-    forgetDead();
+    pruneDead();
   }
 }
 
 void Membership::onGossip(const GossipHeader& gossip) {
-  onRecord(gossip.sender, PassOn::Yes);
+  onRecord(gossip.sender, Disseminate::Yes);
   for (const MemberRecord& record : gossip.members) {
-    onRecord(record, PassOn::Yes);
+    onRecord(record, Disseminate::Yes);
   }
 }
 
@@ -105,7 +105,7 @@
 
 void Membership::onMembersReply(Endpoint from, const MembersReply& reply) {
   for (const MemberRecord& record : reply.members) {
-    onRecord(record, PassOn::No);
+    onRecord(record, Disseminate::No);
   }
   if (reply.next_index != 0) {
     host_.sendMembersRequest(from, reply.next_index);
@@ -129,7 +129,7 @@
   }
 }
 
-void Membership::pingSome(std::size_t count) {
+void Membership::pingRandomMembers(std::size_t count) {
   for (const MemberRecord& member : randomLive(count)) {
     ping(member.peer_address, &member, {time_source_.monotonicTime(), {}, 0});
   }
@@ -138,33 +138,33 @@
 void Membership::startLeaving() {
   self_.state = MemberState::Leaving;
   ++self_.incarnation;
-  addRumour(nodeIdFromName(self_.name));
+  addUpdate(nodeIdFromName(self_.name));
 }
 
-std::vector<MemberRecord> Membership::takeRumours(const MemberRecord* about, std::size_t bytes) {
+std::vector<MemberRecord> Membership::takeUpdates(const MemberRecord* about, std::size_t bytes) {
   std::vector<MemberRecord> taken;
   std::size_t used = 0;
   if (about != nullptr && about->state != MemberState::Alive) {
     taken.push_back(*about);
     used += encodedBytes(*about);
   }
-  const auto less_sent = [](const Rumour& left, const Rumour& right) {
+  const auto fewer_transmissions = [](const Update& left, const Update& right) {
     return left.transmissions < right.transmissions;
   };
-  std::stable_sort(rumours_.begin(), rumours_.end(), less_sent);
-  for (Rumour& rumour : rumours_) {
-    const std::size_t index = indexOf(rumour.about);
+  std::stable_sort(updates_.begin(), updates_.end(), fewer_transmissions);
+  for (Update& update : updates_) {
+    const std::size_t index = indexOf(update.about);
     const MemberRecord& record = index == kNoIndex ? self_ : members_[index];
     if (used + encodedBytes(record) > bytes) {
       break;
     }
     used += encodedBytes(record);
-    ++rumour.transmissions;
+    ++update.transmissions;
     taken.push_back(record);
   }
   const std::uint32_t limit = retransmitLimit();
-  std::erase_if(rumours_, [limit](const Rumour& rumour) { return rumour.transmissions >= limit; });
-  // Anti-entropy: one member at random tells the receiver what a lost rumour did not.
+  std::erase_if(updates_, [limit](const Update& update) { return update.transmissions >= limit; });
+  // Anti-entropy: one member at random tells the receiver what a lost update did not.
   if (!members_.empty()) {
     const MemberRecord& record = members_[random_.below(members_.size())];
     const bool fits = used + encodedBytes(record) <= bytes;
@@ -200,7 +200,7 @@
   return chosen;
 }
 
-void Membership::onRecord(const MemberRecord& record, PassOn pass_on) {
+void Membership::onRecord(const MemberRecord& record, Disseminate disseminate) {
   if (record.name == self_.name) {
     refute(record);
     return;
@@ -208,10 +208,10 @@
   const std::size_t index = indexOf(nodeIdFromName(record.name));
   if (index != kNoIndex) {
     if (supersedes(record, members_[index])) {
-      change(members_[index], record, pass_on);
+      updateMember(members_[index], record, disseminate);
     }
   } else if (record.state != MemberState::Dead) {
-    insert(record, pass_on);
+    addMember(record, disseminate);
   }
 }
 
@@ -221,12 +221,12 @@
   }
   // Also a record of an earlier life under a clock that was ahead is refuted.
   self_.incarnation = record.incarnation + 1;
-  addRumour(nodeIdFromName(self_.name));
+  addUpdate(nodeIdFromName(self_.name));
   log_.write(LogLevel::Info, "membership", "refuted",
              {{"state", toString(record.state)}, {"incarnation", self_.incarnation}});
 }
 
-void Membership::insert(const MemberRecord& record, PassOn pass_on) {
+void Membership::addMember(const MemberRecord& record, Disseminate disseminate) {
   const NodeId id = nodeIdFromName(record.name);
   index_[id] = members_.size();
   members_.push_back(record);
@@ -237,23 +237,24 @@
   if (record.state == MemberState::Suspect) {
     suspected_at_[id] = time_source_.monotonicTime();
   }
-  if (pass_on == PassOn::Yes) {
-    addRumour(id);
+  if (disseminate == Disseminate::Yes) {
+    addUpdate(id);
   }
   host_.onMemberChanged(record, MemberState::Dead);
 }
 
-void Membership::change(MemberRecord& member, const MemberRecord& record, PassOn pass_on) {
+void Membership::updateMember(MemberRecord& member, const MemberRecord& record,
+                              Disseminate disseminate) {
   countLive(member, false);
   live_generation_ += member.zone != record.zone ? 1 : 0;
   member.zone = record.zone;
   member.peer_address = record.peer_address;
   member.incarnation = record.incarnation;
   countLive(member, true);
-  setState(member, record.state, pass_on);
+  setState(member, record.state, disseminate);
 }
 
-void Membership::setState(MemberRecord& member, MemberState state, PassOn pass_on) {
+void Membership::setState(MemberRecord& member, MemberState state, Disseminate disseminate) {
   const NodeId id = nodeIdFromName(member.name);
   const MemberState previous = member.state;
   const bool was_live = isLive(member);
@@ -268,8 +269,8 @@
   } else if (state == MemberState::Dead) {
     dead_since_[id] = time_source_.monotonicTime();
   }
-  if (pass_on == PassOn::Yes) {
-    addRumour(id);
+  if (disseminate == Disseminate::Yes) {
+    addUpdate(id);
   }
   if (state != previous) {
     host_.onMemberChanged(member, previous);
@@ -280,26 +281,27 @@
   if (!isLive(member)) {
     return;
   }
-  const std::size_t in_zone = member.zone == self_.zone ? 1 : 0;
+  const std::size_t in_local_zone = member.zone == self_.zone ? 1 : 0;
   live_count_ = added ? live_count_ + 1 : live_count_ - 1;
-  live_in_zone_ = added ? live_in_zone_ + in_zone : live_in_zone_ - in_zone;
+  live_in_local_zone_ =
+      added ? live_in_local_zone_ + in_local_zone : live_in_local_zone_ - in_local_zone;
 }
 
-void Membership::addRumour(NodeId about) {
-  const auto found = std::find_if(rumours_.begin(), rumours_.end(),
-                                  [about](const Rumour& rumour) { return rumour.about == about; });
-  if (found != rumours_.end()) {
+void Membership::addUpdate(NodeId about) {
+  const auto found = std::find_if(updates_.begin(), updates_.end(),
+                                  [about](const Update& update) { return update.about == about; });
+  if (found != updates_.end()) {
     found->transmissions = 0;
     return;
   }
-  if (rumours_.size() >= settings_.max_rumours) {
-    const auto most_sent = std::max_element(rumours_.begin(), rumours_.end(),
-                                            [](const Rumour& left, const Rumour& right) {
-                                              return left.transmissions < right.transmissions;
-                                            });
-    rumours_.erase(most_sent);
+  if (updates_.size() >= settings_.max_updates) {
+    const auto most_transmitted = std::max_element(
+        updates_.begin(), updates_.end(), [](const Update& left, const Update& right) {
+          return left.transmissions < right.transmissions;
+        });
+    updates_.erase(most_transmitted);
   }
-  rumours_.push_back({about, 0});
+  updates_.push_back({about, 0});
 }
 
 void Membership::probeNext() {
@@ -327,7 +329,7 @@
     if (index != kNoIndex && members_[index].state < MemberState::Suspect) {
       log_.write(LogLevel::Warn, "membership", "member_suspected",
                  {{"member", members_[index].name}});
-      setState(members_[index], MemberState::Suspect, PassOn::Yes);
+      setState(members_[index], MemberState::Suspect, Disseminate::Yes);
     }
   }
   probe_.reset();
@@ -359,7 +361,7 @@
   for (const NodeId id : expired) {
     MemberRecord& member = members_[indexOf(id)];
     log_.write(LogLevel::Warn, "membership", "member_dead", {{"member", member.name}});
-    setState(member, MemberState::Dead, PassOn::Yes);
+    setState(member, MemberState::Dead, Disseminate::Yes);
   }
 }
 
@@ -390,8 +392,8 @@
   return unreached;
 }
 
-void Membership::forgetDead() {
-  const MonotonicTime limit = time_source_.monotonicTime() - settings_.dead_retention;
+void Membership::pruneDead() {
+  const MonotonicTime limit = time_source_.monotonicTime() - settings_.dead_member_ttl;
   std::vector<NodeId> expired;
   for (const auto& [id, dead_since] : dead_since_) {
     if (dead_since <= limit) {
@@ -400,11 +402,11 @@
   }
   std::sort(expired.begin(), expired.end());
   for (const NodeId id : expired) {
-    forget(id);
+    removeMember(id);
   }
 }
 
-void Membership::forget(NodeId id) {
+void Membership::removeMember(NodeId id) {
   const std::size_t index = indexOf(id);
   dead_since_.erase(id);
   index_.erase(id);
@@ -414,7 +416,7 @@
   }
   members_.pop_back();
   std::erase(probe_order_, id);
-  std::erase_if(rumours_, [id](const Rumour& rumour) { return rumour.about == id; });
+  std::erase_if(updates_, [id](const Update& update) { return update.about == id; });
 }
 
 std::uint64_t Membership::ping(Endpoint peer, const MemberRecord* about, SentPing sent) {
@@ -424,9 +426,9 @@
   return sequence;
 }
 
-void Membership::forgetOldPings() {
+void Membership::expirePings() {
   const MonotonicTime limit =
-      time_source_.monotonicTime() - kPingLifetimeIntervals * settings_.probe_interval;
+      time_source_.monotonicTime() - kPingTtlIntervals * settings_.probe_interval;
   std::erase_if(sent_pings_, [limit](const auto& entry) { return entry.second.sent_at < limit; });
 }
 
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -21,10 +21,10 @@
   std::size_t indirect_probes = 3;
   /** A suspect is declared dead after this factor times log10(members) probe intervals. */
   double suspicion_factor = 4;
-  /** A rumour is sent this factor times log2(members) times. */
+  /** A update is sent this factor times log2(members) times. */
   double retransmit_factor = 3;
   /** Rumours waiting at a time; beyond it the most sent one is dropped. */
-  std::size_t max_rumours = 256;
+  std::size_t max_updates = 256;
   /** A member believed dead, or a seed that is no member yet, is tried in each interval. */
   Duration reconnect_interval = seconds(5);
   /** Interval of the same while no member is known. */
@@ -32,7 +32,7 @@
   /** Seeds tried at a time while no member is known. */
   std::size_t join_fanout = 3;
   /** A dead member is forgotten after this time. */
-  Duration dead_retention = std::chrono::hours(6);
+  Duration dead_member_ttl = std::chrono::hours(6);
   /** Members on one page of the member list. */
   std::size_t page_size = 500;
 };
@@ -86,7 +86,7 @@
   void onPause();
 
   /** Pings some live members at once, to have the view confirmed. */
-  void pingSome(std::size_t count);
+  void pingRandomMembers(std::size_t count);
 
   /** Announces that this node is leaving. */
   void startLeaving();
@@ -96,7 +96,7 @@
    * @param about the receiver if it is a member: it hears first what is said of itself.
    * @param bytes room in the message.
    */
-  std::vector<MemberRecord> takeRumours(const MemberRecord* about, std::size_t bytes);
+  std::vector<MemberRecord> takeUpdates(const MemberRecord* about, std::size_t bytes);
 
   const MemberRecord& self() const { return self_; }
 
@@ -111,7 +111,7 @@
   std::size_t liveCount() const { return live_count_; }
 
   /** @return live members of this node's zone, without this node. */
-  std::size_t liveInZone() const { return live_in_zone_; }
+  std::size_t liveInLocalZone() const { return live_in_local_zone_; }
 
   /** @return listed balancers besides this one. */
   std::size_t seedCount() const { return seeds_.size(); }
@@ -133,31 +133,31 @@
     Endpoint requester;
     std::uint64_t requester_sequence = 0;
   };
-  struct Rumour {
+  struct Update {
     NodeId about;
     std::uint32_t transmissions = 0;
   };
 
-  /** Whether a record is passed on as a rumour: those of a member list are known already. */
-  enum class PassOn { Yes, No };
+  /** Whether a record is passed on as a update: those of a member list are known already. */
+  enum class Disseminate { Yes, No };
 
-  void onRecord(const MemberRecord& record, PassOn pass_on);
+  void onRecord(const MemberRecord& record, Disseminate disseminate);
   void refute(const MemberRecord& record);
-  void insert(const MemberRecord& record, PassOn pass_on);
-  void change(MemberRecord& member, const MemberRecord& record, PassOn pass_on);
-  void setState(MemberRecord& member, MemberState state, PassOn pass_on);
+  void addMember(const MemberRecord& record, Disseminate disseminate);
+  void updateMember(MemberRecord& member, const MemberRecord& record, Disseminate disseminate);
+  void setState(MemberRecord& member, MemberState state, Disseminate disseminate);
   void countLive(const MemberRecord& member, bool added);
-  void addRumour(NodeId about);
+  void addUpdate(NodeId about);
   void probeNext();
   void finishProbe();
   void probeIndirectly();
   void expireSuspects();
   void reconnect();
   std::vector<const MemberSeed*> unreachedSeeds() const;
-  void forgetDead();
-  void forget(NodeId id);
+  void pruneDead();
+  void removeMember(NodeId id);
   std::uint64_t ping(Endpoint peer, const MemberRecord* about, SentPing sent);
-  void forgetOldPings();
+  void expirePings();
   std::size_t indexOf(NodeId id) const;
   Duration suspicionTimeout() const;
   std::uint32_t retransmitLimit() const;
@@ -177,12 +177,12 @@
   std::size_t next_in_order_ = 0;
   std::optional<Probe> probe_;
   std::unordered_map<std::uint64_t, SentPing> sent_pings_;
-  std::vector<Rumour> rumours_;
+  std::vector<Update> updates_;
   std::uint64_t next_sequence_;
   MonotonicTime next_probe_at_;
   MonotonicTime next_reconnect_at_;
   std::size_t live_count_ = 0;
-  std::size_t live_in_zone_ = 0;
+  std::size_t live_in_local_zone_ = 0;
   std::uint64_t live_generation_ = 0;
   bool members_requested_ = false;
 };
--- a/src/cluster/probe_assignment.cc
+++ b/src/cluster/probe_assignment.cc
@@ -16,12 +16,12 @@
 }
 
 /** @return true if fewer than the wanted number of others rank above this node. */
-bool ranksAmongFirst(NodeId self, BackendId backend, const std::vector<NodeId>& others,
-                     std::size_t wanted) {
-  const std::uint64_t own = rendezvousWeight(self, backend);
+bool ranksAmongTop(NodeId self, BackendId backend, const std::vector<NodeId>& others,
+                   std::size_t wanted) {
+  const std::uint64_t self_weight = rendezvousWeight(self, backend);
   std::size_t above = 0;
   for (const NodeId other : others) {
-    above += rendezvousWeight(other, backend) > own ? 1 : 0;
+    above += rendezvousWeight(other, backend) > self_weight ? 1 : 0;
     if (above >= wanted) {
       return false;
     }
@@ -43,21 +43,21 @@
       by_zone[zone->id].push_back(id);
     }
   }
-  const Zone* own_zone = configuration.zoneNamed(self.zone);
+  const Zone* local_zone = configuration.zoneNamed(self.zone);
   const NodeId self_id = nodeIdFromName(self.name);
   std::vector<BackendId> assigned;
   for (const Backend& backend : configuration.document().backends) {
-    const bool in_own_zone = own_zone != nullptr && backend.zone == own_zone->id;
+    const bool in_local_zone = local_zone != nullptr && backend.zone == local_zone->id;
     const auto zone_members = by_zone.find(backend.zone);
-    const bool zone_has_members = in_own_zone || zone_members != by_zone.end();
-    if (zone_has_members && !in_own_zone) {
+    const bool zone_has_members = in_local_zone || zone_members != by_zone.end();
+    if (zone_has_members && !in_local_zone) {
       continue;
     }
-    static const std::vector<NodeId> kNobody;
+    static const std::vector<NodeId> kNoNodes;
     const std::vector<NodeId>& in_zone =
-        zone_members == by_zone.end() ? kNobody : zone_members->second;
-    const std::vector<NodeId>& others = in_own_zone ? in_zone : all;
-    if (ranksAmongFirst(self_id, backend.id, others, probers_per_backend)) {
+        zone_members == by_zone.end() ? kNoNodes : zone_members->second;
+    const std::vector<NodeId>& others = in_local_zone ? in_zone : all;
+    if (ranksAmongTop(self_id, backend.id, others, probers_per_backend)) {
       assigned.push_back(backend.id);
     }
   }
@@ -85,9 +85,10 @@
 }
 
 Duration ProbeSchedule::interval() const {
-  const auto at_limit = seconds(1) * static_cast<std::int64_t>(backends_.size()) /
-                        static_cast<std::int64_t>(settings_.max_probes_per_second);
-  return std::max(settings_.interval, std::chrono::duration_cast<Duration>(at_limit));
+  const auto interval_at_max_rate = seconds(1) * static_cast<std::int64_t>(backends_.size()) /
+                                    static_cast<std::int64_t>(settings_.max_probes_per_second);
+  return std::max(settings_.min_interval,
+                  std::chrono::duration_cast<Duration>(interval_at_max_rate));
 }
 
 }  // namespace lugfork
--- a/src/cluster/probe_assignment.h
+++ b/src/cluster/probe_assignment.h
@@ -14,7 +14,7 @@
   /** Balancers that probe each back end. */
   std::size_t probers_per_backend = 2;
   /** Shortest time between two probes of one back end by one balancer. */
-  Duration interval = seconds(1);
+  Duration min_interval = seconds(1);
   /** Most probes that a balancer sends a second; a longer list is probed less often. */
   std::size_t max_probes_per_second = 4;
 };
--- a/src/cluster/view_lease.cc
+++ b/src/cluster/view_lease.cc
@@ -34,7 +34,7 @@
   }
   const bool paused = now - last_tick_ >= settings_.pause_threshold;
   const MonotonicTime waiting_since = std::max(running_since_, confirmed_at_ + settings_.lease);
-  const bool waited = now - waiting_since >= settings_.isolation_limit;
+  const bool waited = now - waiting_since >= settings_.isolation_timeout;
   return !paused && waited ? ViewState::Degraded : ViewState::Stale;
 }
 
--- a/src/cluster/view_lease.h
+++ b/src/cluster/view_lease.h
@@ -11,7 +11,7 @@
   /** Time without a tick from which the process counts as paused. */
   Duration pause_threshold = seconds(1);
   /** A running process that nothing confirmed this long places with what it has. */
-  Duration isolation_limit = seconds(5);
+  Duration isolation_timeout = seconds(5);
   /** Without the lease a node always places; for experiments only. */
   bool enabled = true;
 };
--- a/src/programs/lugforkd.cc
+++ b/src/programs/lugforkd.cc
@@ -30,10 +30,10 @@
       ->capture_default_str();
   addMillisecondsOption(app, "--gossip-interval", node.gossip_interval, milliseconds(50),
                         milliseconds(60000), "time between two messages to peers");
-  addMillisecondsOption(app, "--platform-interval", node.configuration.platform_interval,
+  addMillisecondsOption(app, "--platform-interval", node.configuration.min_platform_interval,
                         milliseconds(50), milliseconds(600000),
                         "time between two reads of the platform");
-  addMillisecondsOption(app, "--probe-interval", node.probes.interval, milliseconds(50),
+  addMillisecondsOption(app, "--probe-interval", node.probes.min_interval, milliseconds(50),
                         milliseconds(60000), "time between two probes of a back end");
   addMillisecondsOption(app, "--placement-lifetime", node.flow.placement_lifetime,
                         milliseconds(100), milliseconds(60000),
--- a/tests/balancer/node_test.cc
+++ b/tests/balancer/node_test.cc
@@ -36,11 +36,11 @@
   NodeSettings settings;
   settings.name = "one";
   settings.zone = "lac";
-  settings.configuration.platform_interval = seconds(600);
+  settings.configuration.min_platform_interval = seconds(600);
   Node node(settings, time, *random, outputs, log);
   const Configuration configuration = radioExample();
   node.onPlatformConfiguration(writeConfigurationDocument(configuration, SecretHandling::Include));
-  time.elapsed += settings.join.limit;
+  time.elapsed += settings.join.timeout;
   node.onTick();
   REQUIRE(node.configuration().inForce() != nullptr);
   outputs.configuration_reads = 0;
--- a/tests/cluster/configuration_faults_test.cc
+++ b/tests/cluster/configuration_faults_test.cc
@@ -29,7 +29,7 @@
   fleet->publish(changedConfiguration(settings, 2, 0));
   fleet->run(std::chrono::hours(1));
   CHECK(fleet->allHaveVersion(ConfigVersion(1)));
-  CHECK(placingNodes(*fleet) == 9);
+  CHECK(placingNodeCount(*fleet) == 9);
   fleet->setPlatformReachable("zone-1", true);
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(2)); };
   CHECK(fleet->runUntil(done, seconds(30)) < seconds(11));
@@ -67,7 +67,7 @@
     const ConfigVersion expected(fleet->zoneOf(index) == "zone-3" ? 3 : 2);
     CHECK(fleet->node(index)->configuration().version() == expected);
   }
-  CHECK(placingNodes(*fleet) == 9);
+  CHECK(placingNodeCount(*fleet) == 9);
   fleet->clearReplicas();
   fleet->heal();
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(3)); };
--- a/tests/cluster/fleet_fixture.h
+++ b/tests/cluster/fleet_fixture.h
@@ -29,7 +29,7 @@
 }
 
 /** @return how many nodes place new flows now. */
-inline std::size_t placingNodes(HollowFleet& fleet) {
+inline std::size_t placingNodeCount(HollowFleet& fleet) {
   std::size_t count = 0;
   for (std::size_t index = 0; index < fleet.size(); ++index) {
     Node* node = fleet.node(index);
--- a/tests/cluster/load_spread_test.cc
+++ b/tests/cluster/load_gossip_test.cc
@@ -1,4 +1,4 @@
-#include "cluster/load_spread.h"
+#include "cluster/load_gossip.h"
 
 #include <catch2/catch.hpp>
 
@@ -25,55 +25,55 @@
   return observation;
 }
 
-constexpr ObservationAudience kAudience{1000, 100};
+constexpr ReceiverCounts kReceivers{1000, 100};
 
 TEST_CASE("a change of state goes before a change of load, and load before a refresh") {
   ManualTimeSource clock;
-  LoadSpread spread(LoadSpreadSettings(), clock);
+  LoadGossip gossip(LoadGossipSettings(), clock);
   for (std::uint32_t backend = 1; backend <= 3; ++backend) {
-    spread.onObservation(observationOf(backend, 1000000, 100));
+    gossip.onObservation(observationOf(backend, 1000000, 100));
   }
-  while (!spread.take(ObservationScope::All, 1000, kAudience).empty()) {
+  while (!gossip.take(ObservationScope::All, 1000, kReceivers).empty()) {
   }
   clock.now += seconds(2);
-  spread.onObservation(observationOf(1, 1002000, 101));
-  spread.onObservation(observationOf(2, 1002000, 200));
+  gossip.onObservation(observationOf(1, 1002000, 101));
+  gossip.onObservation(observationOf(2, 1002000, 200));
   BackendObservation unreachable = observationOf(3, 1002000, 0);
   unreachable.report.reachable = false;
-  spread.onObservation(unreachable);
-  const auto taken = spread.take(ObservationScope::All, 1000, kAudience);
+  gossip.onObservation(unreachable);
+  const auto taken = gossip.take(ObservationScope::All, 1000, kReceivers);
   REQUIRE(taken.size() == 3);
   CHECK(taken[0].report.backend == BackendId(3));
   CHECK(taken[1].report.backend == BackendId(2));
   CHECK(taken[2].report.backend == BackendId(1));
-  CHECK(spread.take(ObservationScope::StateChanges, 1000, kAudience).size() == 1);
-  CHECK(spread.take(ObservationScope::All, 2 * LoadSpread::kObservationBytes, kAudience).size() ==
+  CHECK(gossip.take(ObservationScope::StateChanges, 1000, kReceivers).size() == 1);
+  CHECK(gossip.take(ObservationScope::All, 2 * LoadGossip::kObservationBytes, kReceivers).size() ==
         2);
 }
 
 TEST_CASE("the back end's own word stands against later reports until it has restarted") {
   ManualTimeSource clock;
-  LoadSpread spread(LoadSpreadSettings(), clock);
-  spread.onObservation(observationOf(1, 990000, 100));
-  CHECK(spread.onOwnWord(BackendId(1)));
-  CHECK_FALSE(spread.onOwnWord(BackendId(1)));
+  LoadGossip gossip(LoadGossipSettings(), clock);
+  gossip.onObservation(observationOf(1, 990000, 100));
+  CHECK(gossip.onDrainAnnounced(BackendId(1)));
+  CHECK_FALSE(gossip.onDrainAnnounced(BackendId(1)));
   clock.now += seconds(1);
   // The load endpoint lags and still says that nothing is draining.
-  spread.onObservation(observationOf(1, 1001000, 100));
-  CHECK(spread.find(BackendId(1))->own_word);
+  gossip.onObservation(observationOf(1, 1001000, 100));
+  CHECK(gossip.find(BackendId(1))->own_word);
   clock.now += seconds(10);
   BackendObservation restarted = observationOf(1, 1011000, 0);
   restarted.report.uptime_ms = 100;
-  spread.onObservation(restarted);
-  CHECK_FALSE(spread.find(BackendId(1))->own_word);
+  gossip.onObservation(restarted);
+  CHECK_FALSE(gossip.find(BackendId(1))->own_word);
 }
 
 TEST_CASE("an older report and a repeated one are no news") {
   ManualTimeSource clock;
-  LoadSpread spread(LoadSpreadSettings(), clock);
-  CHECK(spread.onObservation(observationOf(1, 1000000, 100)));
-  CHECK_FALSE(spread.onObservation(observationOf(1, 1000000, 100)));
-  CHECK_FALSE(spread.onObservation(observationOf(1, 999000, 300)));
+  LoadGossip gossip(LoadGossipSettings(), clock);
+  CHECK(gossip.onObservation(observationOf(1, 1000000, 100)));
+  CHECK_FALSE(gossip.onObservation(observationOf(1, 1000000, 100)));
+  CHECK_FALSE(gossip.onObservation(observationOf(1, 999000, 300)));
 }
 
 TEST_CASE("at today's size every node knows the load of every back end as of seconds ago") {
--- a/tests/cluster/membership_faults_test.cc
+++ b/tests/cluster/membership_faults_test.cc
@@ -54,11 +54,11 @@
 
 TEST_CASE("a false suspicion is refuted and kills nobody") {
   auto fleet = settledFleet(fleetOf(6));
-  GossipHeader rumour;
-  rumour.sender = fleet->node(1)->membership().self();
-  rumour.members.push_back(fleet->node(2)->membership().self());
-  rumour.members.back().state = MemberState::Suspect;
-  fleet->node(0)->onPeerMessage(fleet->machineOf(1).peer_address, GossipPush{rumour});
+  GossipHeader gossip;
+  gossip.sender = fleet->node(1)->membership().self();
+  gossip.members.push_back(fleet->node(2)->membership().self());
+  gossip.members.back().state = MemberState::Suspect;
+  fleet->node(0)->onPeerMessage(fleet->machineOf(1).peer_address, GossipPush{gossip});
   REQUIRE(fleet->node(0)->membership().member("node-3")->state == MemberState::Suspect);
   const auto alive = [&] { return fleet->allBelieve(2, MemberState::Alive); };
   CHECK(fleet->runUntil(alive, seconds(30)) < seconds(8));
--- a/tests/cluster/view_lease_test.cc
+++ b/tests/cluster/view_lease_test.cc
@@ -15,7 +15,7 @@
 }
 
 /** A back end drains while one node is paused; @return whether that node would still use it. */
-bool placesOnDrainedBackendAfterWaking(bool lease_enabled) {
+bool placesOnDrainedBackendAfterResuming(bool lease_enabled) {
   const HollowFleetSettings settings = sixNodes(lease_enabled);
   auto fleet = settledFleet(settings);
   const Backend backend = HollowFleet::makeConfiguration(settings).backends[0];
@@ -29,9 +29,9 @@
 }
 
 TEST_CASE("a process that wakes from a pause places nothing on its old view") {
-  CHECK_FALSE(placesOnDrainedBackendAfterWaking(true));
+  CHECK_FALSE(placesOnDrainedBackendAfterResuming(true));
   // The harm that the lease prevents.
-  CHECK(placesOnDrainedBackendAfterWaking(false));
+  CHECK(placesOnDrainedBackendAfterResuming(false));
 }
 
 TEST_CASE("a woken process has a fresh view again within two seconds") {
