--- a/src/config/backend_index.cc
+++ b/src/config/backend_index.cc
@@ -25,9 +25,9 @@
     by_address_.erase(entry);
   }
   std::vector<const Backend*>& others = by_service_[backend.service];
-  const auto place = std::find(others.begin(), others.end(), &backend);
-  if (place != others.end()) {
-    *place = others.back();
+  const auto position = std::find(others.begin(), others.end(), &backend);
+  if (position != others.end()) {
+    *position = others.back();
     others.pop_back();
   }
 }
@@ -44,7 +44,7 @@
 
 const std::vector<const Backend*>& BackendIndex::of(ServiceId service) const {
   const auto found = by_service_.find(service);
-  return found == by_service_.end() ? none_ : found->second;
+  return found == by_service_.end() ? no_backends_ : found->second;
 }
 
 }  // namespace lugfork
--- a/src/config/backend_index.h
+++ b/src/config/backend_index.h
@@ -32,7 +32,7 @@
   /** Where an address has gone to another server, both are here for a moment. */
   std::unordered_multimap<Endpoint, const Backend*> by_address_;
   std::unordered_map<ServiceId, std::vector<const Backend*>> by_service_;
-  std::vector<const Backend*> none_;
+  std::vector<const Backend*> no_backends_;
 };
 
 }  // namespace lugfork
--- a/src/config/configuration.cc
+++ b/src/config/configuration.cc
@@ -26,12 +26,12 @@
   if (total == 0) {
     return std::nullopt;
   }
-  std::uint64_t rest = flow_hash % total;
+  std::uint64_t remaining_weight = flow_hash % total;
   for (const RouteTarget& target : targets) {
-    if (rest < target.weight) {
+    if (remaining_weight < target.weight) {
       return target.service;
     }
-    rest -= target.weight;
+    remaining_weight -= target.weight;
   }
   return std::nullopt;
 }
--- a/src/config/configuration_delta.cc
+++ b/src/config/configuration_delta.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kKeyBytes = 8;
 
 template <typename Resource>
-std::optional<ResourceRecord> encodeOrNothing(ResourceKey key, const Resource* resource) {
+std::optional<ResourceRecord> encodeIfPresent(ResourceKey key, const Resource* resource) {
   if (resource == nullptr) {
     return std::nullopt;
   }
@@ -201,13 +201,13 @@
       return ResourceRecord{key, Bytes(system.begin(), system.end())};
     }
     case ResourceKind::Zone:
-      return encodeOrNothing(key, view.zone(ZoneId(short_id)));
+      return encodeIfPresent(key, view.zone(ZoneId(short_id)));
     case ResourceKind::Service:
-      return encodeOrNothing(key, view.service(ServiceId(key.id)));
+      return encodeIfPresent(key, view.service(ServiceId(key.id)));
     case ResourceKind::Backend:
-      return encodeOrNothing(key, view.backend(BackendId(key.id)));
+      return encodeIfPresent(key, view.backend(BackendId(key.id)));
     case ResourceKind::TokenKey:
-      return encodeOrNothing(key, view.key(KeyId(short_id)));
+      return encodeIfPresent(key, view.key(KeyId(short_id)));
   }
   return std::nullopt;
 }
@@ -297,16 +297,16 @@
                                                    const ConfigurationDelta& delta) {
   Configuration result = base == nullptr ? Configuration() : base->document();
   std::uint64_t digest = base_digest;
-  const auto forget_old = [&](ResourceKey key) {
+  const auto subtract_old_digest = [&](ResourceKey key) {
     const auto old = base == nullptr ? std::nullopt : encodeResource(*base, key);
     digest -= old ? resourceDigest(*old) : 0;
   };
   for (const ResourceKey key : delta.removed) {
-    forget_old(key);
+    subtract_old_digest(key);
     removeRecord(result, key);
   }
   for (const ResourceRecord& record : delta.changed) {
-    forget_old(record.key);
+    subtract_old_digest(record.key);
     digest += resourceDigest(record);
     if (!putRecord(result, record)) {
       return DocumentProblems{{"", "a resource of the delta can't be decoded"}};
--- a/src/config/configuration_store.cc
+++ b/src/config/configuration_store.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** Versions that a peer may be behind and still get a delta. */
-constexpr std::size_t kHistoryLength = 64;
+constexpr std::size_t kMaxHistoryLength = 64;
 /** Largest delta in one message, below the limit of a peer message. */
 constexpr std::size_t kMaxDeltaBytes = 48UL * 1024;
 constexpr std::size_t kResourcesPerBucket = 64;
@@ -42,7 +42,8 @@
 OfferOutcome ConfigurationStore::offer(const std::string& json_text) {
   const std::uint64_t text_digest = XXH64(json_text.data(), json_text.size(), 0);
   if (text_digest == last_text_digest_) {
-    return last_text_id_ == ConfigurationId() ? OfferOutcome::Invalid : weigh(last_text_id_);
+    return last_text_id_ == ConfigurationId() ? OfferOutcome::Invalid
+                                              : evaluateOffer(last_text_id_);
   }
   last_text_digest_ = text_digest;
   last_text_id_ = ConfigurationId();
@@ -54,7 +55,7 @@
   auto view = std::make_shared<const ConfigurationView>(std::move(parsed.value()));
   const ConfigurationId id{view->version(), configurationDigest(*view)};
   last_text_id_ = id;
-  const OfferOutcome outcome = weigh(id);
+  const OfferOutcome outcome = evaluateOffer(id);
   if (outcome != OfferOutcome::Adopted && outcome != OfferOutcome::ConflictAdopted) {
     return outcome;
   }
@@ -66,7 +67,7 @@
 }
 
 OfferOutcome ConfigurationStore::offerDelta(const ConfigurationDelta& delta) {
-  const OfferOutcome outcome = weigh(delta.to);
+  const OfferOutcome outcome = evaluateOffer(delta.to);
   if (outcome != OfferOutcome::Adopted && outcome != OfferOutcome::ConflictAdopted) {
     return outcome;
   }
@@ -80,18 +81,18 @@
   }
   auto view = std::make_shared<const ConfigurationView>(std::move(applied.value()));
   // A delta from an empty configuration would replace all that others hold: not for the history.
-  auto kept = from_empty ? nullptr : std::make_shared<const ConfigurationDelta>(delta);
-  return adopt(outcome, delta.to, std::move(view), std::move(kept));
+  auto history_delta = from_empty ? nullptr : std::make_shared<const ConfigurationDelta>(delta);
+  return adopt(outcome, delta.to, std::move(view), std::move(history_delta));
 }
 
 OfferOutcome ConfigurationStore::offerResources(const ConfigurationId& id,
                                                 const std::vector<ResourceRecord>& resources) {
   // In order of the keys each resource goes to the end of its list.
-  ConfigurationDelta whole{ConfigurationId(), id, resources, {}};
+  ConfigurationDelta full{ConfigurationId(), id, resources, {}};
   std::sort(
-      whole.changed.begin(), whole.changed.end(),
+      full.changed.begin(), full.changed.end(),
       [](const ResourceRecord& left, const ResourceRecord& right) { return left.key < right.key; });
-  return offerDelta(whole);
+  return offerDelta(full);
 }
 
 std::string ConfigurationStore::documentInForce() const {
@@ -117,13 +118,13 @@
     }
     break;
   }
-  // A whole configuration of the smallest resources would exceed the limit: don't encode it.
-  constexpr std::size_t kSmallestRecordBytes = 16;
-  if (resourceCount(in_force_->document()) * kSmallestRecordBytes > kMaxDeltaBytes) {
+  // A full configuration of the smallest resources would exceed the limit: don't encode it.
+  constexpr std::size_t kMinRecordBytes = 16;
+  if (resourceCount(in_force_->document()) * kMinRecordBytes > kMaxDeltaBytes) {
     return std::nullopt;
   }
-  ConfigurationDelta whole = makeDelta(nullptr, ConfigurationId(), *in_force_, id_);
-  return estimatedBytes(whole) <= kMaxDeltaBytes ? std::optional(std::move(whole)) : std::nullopt;
+  ConfigurationDelta full = makeDelta(nullptr, ConfigurationId(), *in_force_, id_);
+  return estimatedBytes(full) <= kMaxDeltaBytes ? std::optional(std::move(full)) : std::nullopt;
 }
 
 const BucketIndex& ConfigurationStore::bucketIndex() {
@@ -143,7 +144,7 @@
   return count;
 }
 
-OfferOutcome ConfigurationStore::weigh(const ConfigurationId& offered) const {
+OfferOutcome ConfigurationStore::evaluateOffer(const ConfigurationId& offered) const {
   if (offered.version > id_.version) {
     return OfferOutcome::Adopted;
   }
@@ -163,7 +164,7 @@
   id_ = id;
   last_problems_.clear();
   bucket_index_.reset();
-  remember(std::move(delta));
+  appendToHistory(std::move(delta));
   return outcome;
 }
 
@@ -172,13 +173,13 @@
   return OfferOutcome::Invalid;
 }
 
-void ConfigurationStore::remember(std::shared_ptr<const ConfigurationDelta> delta) {
+void ConfigurationStore::appendToHistory(std::shared_ptr<const ConfigurationDelta> delta) {
   if (delta == nullptr || estimatedBytes(*delta) > kMaxDeltaBytes) {
     history_.clear();
     return;
   }
   history_.push_back(std::move(delta));
-  if (history_.size() > kHistoryLength) {
+  if (history_.size() > kMaxHistoryLength) {
     history_.pop_front();
   }
 }
--- a/src/config/configuration_store.h
+++ b/src/config/configuration_store.h
@@ -79,11 +79,11 @@
 
  private:
   /** Weighs an offer against what is in force; Adopted stands for "newer, to be taken". */
-  OfferOutcome weigh(const ConfigurationId& offered) const;
+  OfferOutcome evaluateOffer(const ConfigurationId& offered) const;
   OfferOutcome adopt(OfferOutcome outcome, const ConfigurationId& id, ConfigurationViewPtr view,
                      std::shared_ptr<const ConfigurationDelta> delta);
   OfferOutcome reject(DocumentProblems problems);
-  void remember(std::shared_ptr<const ConfigurationDelta> delta);
+  void appendToHistory(std::shared_ptr<const ConfigurationDelta> delta);
 
   ConfigurationViewPtr in_force_;
   ConfigurationId id_;
--- a/src/config/live_configuration.cc
+++ b/src/config/live_configuration.cc
@@ -5,18 +5,18 @@
 namespace lugfork {
 
 const Backend* LiveConfiguration::put(Backend backend) {
-  std::unique_ptr<Backend>& place = owned_[backend.id];
-  if (place == nullptr) {
-    place = std::make_unique<Backend>(std::move(backend));
+  std::unique_ptr<Backend>& stored = owned_[backend.id];
+  if (stored == nullptr) {
+    stored = std::make_unique<Backend>(std::move(backend));
   } else {
-    backendIndex().remove(*place);
-    *place = std::move(backend);
+    backendIndex().remove(*stored);
+    *stored = std::move(backend);
   }
-  backendIndex().add(*place);
-  return place.get();
+  backendIndex().add(*stored);
+  return stored.get();
 }
 
-std::unique_ptr<const Backend> LiveConfiguration::take(BackendId id) {
+std::unique_ptr<const Backend> LiveConfiguration::extract(BackendId id) {
   auto found = owned_.extract(id);
   if (found.empty()) {
     return nullptr;
--- a/src/config/live_configuration.h
+++ b/src/config/live_configuration.h
@@ -39,7 +39,7 @@
   const Backend* put(Backend backend);
 
   /** Takes a back end out. @return it, so that others can let go of it; nullptr where none is. */
-  std::unique_ptr<const Backend> take(BackendId id);
+  std::unique_ptr<const Backend> extract(BackendId id);
 
  private:
   std::unordered_map<BackendId, std::unique_ptr<Backend>> owned_;
--- a/src/discovery/backend_registry.cc
+++ b/src/discovery/backend_registry.cc
@@ -389,7 +389,7 @@
     changes.backends.push_back(configuration_->put(makeBackend(*owner)));
     return;
   }
-  auto removed = configuration_->take(id);
+  auto removed = configuration_->extract(id);
   if (removed != nullptr) {
     changes.removed.push_back(std::move(removed));
   }
--- a/tests/discovery/live_configuration_test.cc
+++ b/tests/discovery/live_configuration_test.cc
@@ -206,11 +206,11 @@
   CHECK(first->draining);
   CHECK(configuration.backendsOf(ServiceId(1)).empty());
   CHECK(configuration.backendsOf(ServiceId(2)) == std::vector<const Backend*>{first});
-  const auto removed = configuration.take(BackendId(1));
+  const auto removed = configuration.extract(BackendId(1));
   CHECK(removed.get() == first);
   CHECK(configuration.backend(BackendId(1)) == nullptr);
   CHECK(configuration.backendAt(addressOf(1)) == nullptr);
-  CHECK(configuration.take(BackendId(1)) == nullptr);
+  CHECK(configuration.extract(BackendId(1)) == nullptr);
 }
 
 TEST_CASE("a retired back end's address is free, that of two is taken until both are gone",
@@ -220,7 +220,7 @@
   second.address = addressOf(1);
   configuration.put(makeBackend(1, ServiceId(1), kLac));
   configuration.put(second);
-  configuration.take(BackendId(1));
+  configuration.extract(BackendId(1));
   REQUIRE(configuration.backendAt(addressOf(1)) != nullptr);
   CHECK(configuration.backendAt(addressOf(1))->id == BackendId(2));
   second.retired = true;
--- a/tests/flow/placement_changes_test.cc
+++ b/tests/flow/placement_changes_test.cc
@@ -30,7 +30,7 @@
     ConfigurationChanges changes;
     const auto id = static_cast<std::uint32_t>(1 + random->below(kBackEnds + 5));
     if (random->below(5) == 0) {
-      auto removed = configuration->take(BackendId(id));
+      auto removed = configuration->extract(BackendId(id));
       if (removed != nullptr) {
         changes.removed.push_back(std::move(removed));
       }
@@ -92,7 +92,7 @@
     changes.backends.push_back(harness.configuration->put(draining));
   }
   SECTION("goes") {
-    changes.removed.push_back(harness.configuration->take(BackendId(100)));
+    changes.removed.push_back(harness.configuration->extract(BackendId(100)));
   }
   harness.engine.onConfigurationChanged(changes);
   const auto refused =
