--- a/src/cluster/configuration_sync.cc
+++ b/src/cluster/configuration_sync.cc
@@ -123,11 +123,11 @@
                {{"peer", toString(fetch_->peer)}});
     fetch_.reset();
   }
-  // A node that lost its peers reads at the rate of a small fleet again.
+  // A node that has lost its peers returns to the read rate of a small fleet.
   const Duration interval = platformReadInterval(fleet_size);
   next_platform_read_ = std::min(next_platform_read_, now + 2 * interval);
   if (now >= next_platform_read_) {
-    // Drawn from [0, 2 * interval): nodes that started at once read at different times.
+    // Uniform in [0, 2 * interval), so that nodes started simultaneously read at different times.
     next_platform_read_ =
         now + Duration(random_.below(static_cast<std::uint64_t>(2 * interval.count())));
     host_.readConfigurationFromPlatform();
@@ -138,7 +138,7 @@
                                       const ConfigurationId& offered) {
   const bool conflict =
       outcome == OfferOutcome::ConflictAdopted || outcome == OfferOutcome::ConflictKept;
-  // The platform gives the same document at each read: a conflict is reported once.
+  // The platform returns the same document at each read; each conflict is reported only once.
   const bool already_recorded =
       outcome == OfferOutcome::ConflictKept && offered.version == last_conflict_version_;
   if (conflict && !already_recorded) {
--- a/src/cluster/configuration_sync.h
+++ b/src/cluster/configuration_sync.h
@@ -12,33 +12,34 @@
 
 namespace lugfork {
 
-/** Tunables of the spread of the configuration. */
+/** Settings of the configuration synchronization. */
 struct ConfigurationSyncSettings {
-  /** A request to a peer that brought nothing may be repeated after this time. */
+  /** Minimum time before another request to a peer if the last one had no result. */
   Duration request_timeout = milliseconds(500);
-  /** Buckets asked for in one request. */
+  /** Maximum number of buckets in one request. */
   std::size_t buckets_per_request = 4;
-  /** A fetch by buckets in which nothing arrived for this time is given up. */
+  /** A bucket fetch without progress for this time is aborted. */
   Duration fetch_timeout = seconds(2);
-  /** Reads of the platform by the whole fleet a second, at most. */
+  /** Maximum rate of platform reads by the whole fleet [1/s]. */
   double max_fleet_reads_per_second = 4;
-  /** Shortest mean time between two reads of one node. */
+  /** Minimum mean time between two platform reads by one node. */
   Duration min_platform_interval = seconds(1);
 };
 
-/** Sends what the spread asks for, and hears of adoptions. */
+/** Sends the messages of the synchronization and is notified of adopted configurations. */
 class ConfigurationSyncHost {
  public:
   virtual ~ConfigurationSyncHost() = default;
   virtual void sendConfigurationMessage(Endpoint peer, const PeerMessage& message) = 0;
-  /** Asks for a read of the platform's configuration. */
+  /** Requests a read of the platform's configuration. */
   virtual void readConfigurationFromPlatform() = 0;
   virtual void onConfigurationAdopted() = 0;
 };
 
 /**
- * Brings the configuration with the highest version to every node: whoever sees a newer one asks,
- * and gets a delta, or where no delta fits, the buckets of resources that differ.
+ * Synchronizes all nodes to the configuration with the highest version. A node that sees a newer
+ * version at a peer requests it. The peer answers with a delta, or if none fits into one message,
+ * with bucket digests from which the node fetches the buckets of resources that differ.
  */
 class ConfigurationSync {
  public:
@@ -46,13 +47,16 @@
                     const TimeSource& time_source, RandomGenerator& random,
                     ConfigurationSyncHost& host, EventLog& log);
 
-  /** Takes what a peer says is in force there. */
+  /** Handles the id of the configuration that is in force at a peer. */
   void onPeerConfiguration(Endpoint peer, const ConfigurationId& remote);
 
-  /** A token shows a newer version; a peer should be asked. @return true if a request may go. */
+  /**
+   * Handles a version that was seen in a placement token.
+   * @return true if it is newer and a request may be sent to a peer now.
+   */
   bool onNewerVersionSeen(ConfigVersion version);
 
-  /** Asks a peer for what is newer there. */
+  /** Requests the configuration from a peer if it has a newer one. */
   void request(Endpoint peer);
 
   void onRequest(Endpoint from, const ConfigurationRequest& request);
@@ -62,20 +66,20 @@
   void onBucketReply(Endpoint from, const BucketReply& reply);
   void onPlatformDocument(const std::string& json_text);
 
-  /** @param fleet_size live balancers; the fleet shares the reads of the platform. */
+  /** @param fleet_size number of live balancers, which share the limit on platform reads. */
   void onTick(std::size_t fleet_size);
 
-  /** Reads the platform at the next tick. */
+  /** Schedules a platform read for the next tick. */
   void readPlatformAtNextTick() { next_platform_read_ = MonotonicTime(); }
 
-  /** @return true if the platform's last document was no older than the one in force. */
+  /** @return true if the platform's last document was valid and no older than the one in force. */
   bool platformIsCurrent() const { return platform_is_current_; }
 
-  /** @return same-version conflicts seen since the start. */
+  /** @return number of same-version conflicts since the start. */
   std::uint64_t conflicts() const { return conflicts_; }
 
  private:
-  /** A fetch by buckets that is under way. */
+  /** A bucket fetch in progress. */
   struct Fetch {
     Endpoint peer;
     ConfigurationId target;
@@ -89,7 +93,7 @@
   void recordOutcome(OfferOutcome outcome, const char* source, const ConfigurationId& offered);
   void requestBuckets();
   void finishFetch();
-  /** @return mean time between two reads of this node. */
+  /** @return mean time between two platform reads by this node. */
   Duration platformReadInterval(std::size_t fleet_size) const;
 
   const ConfigurationSyncSettings settings_;
--- a/src/cluster/control_budget.h
+++ b/src/cluster/control_budget.h
@@ -6,26 +6,26 @@
 
 namespace lugfork {
 
-/** Token bucket over the bytes that a node sends to its peers. */
+/** Token bucket that limits the bytes a node sends to its peers. */
 class ControlBudget {
  public:
-  /** @param bytes_per_second rate of the bucket; it holds two seconds of it. */
+  /** @param bytes_per_second fill rate; the bucket's capacity is kBurstSeconds of it. */
   ControlBudget(std::size_t bytes_per_second, const TimeSource& time_source)
       : rate_(static_cast<double>(bytes_per_second)),
         time_source_(time_source),
         available_(rate_),
         filled_at_(time_source.monotonicTime()) {}
 
-  /** Takes bytes; what must be sent may overdraw the budget. */
+  /** Consumes bytes; messages that must be sent may overdraw the budget. */
   void spend(std::size_t bytes) { available_ -= static_cast<double>(bytes); }
 
-  /** @return true if urgent messages must wait as well: the debt has reached its limit. */
+  /** @return true if the debt exceeds its limit, so that urgent messages must wait as well. */
   bool isExhausted() {
     static_cast<void>(available());
     return available_ < -kDebtSeconds * rate_;
   }
 
-  /** @return bytes that may be spent now. */
+  /** @return number of bytes that may be sent now. */
   std::size_t available() {
     const MonotonicTime now = time_source_.monotonicTime();
     const std::chrono::duration<double> passed = now - filled_at_;
@@ -35,8 +35,9 @@
   }
 
  private:
+  /** Capacity of the bucket, in seconds of the rate. */
   static constexpr double kBurstSeconds = 2;
-  /** Debt that urgent messages may run up, in seconds of the rate. */
+  /** Maximum debt by urgent messages, in seconds of the rate. */
   static constexpr double kDebtSeconds = 2;
 
   const double rate_;
--- a/src/cluster/join_controller.h
+++ b/src/cluster/join_controller.h
@@ -7,28 +7,28 @@
 
 namespace lugfork {
 
-/** Tunables of the join. */
+/** Settings of the join. */
 struct JoinSettings {
-  /** Peers that must have answered, or all listed ones where there are fewer. */
+  /** Number of peers that must have answered, or all listed ones if there are fewer. */
   std::size_t min_peers = 2;
-  /** After this time one peer and the platform together are enough. */
+  /** After this time one peer together with the platform is sufficient. */
   Duration grace_period = seconds(1);
-  /** After this time the node places with what it has. */
+  /** After this time the node places flows with the configuration that it has, if any. */
   Duration timeout = seconds(5);
 };
 
-/** How far a started node has come. */
+/** Join progress of a started node. */
 enum class JoinState {
   Joining,
   Joined,
-  /** The wait ended before enough peers had answered. */
+  /** The join timed out before enough peers had answered. */
   Degraded,
 };
 
 /**
- * Holds placement back until a started node knows what is in force. The platform's answer alone is
- * enough only where its list names no other balancer: a stale platform must not send a restarted
- * node back to an old version that its peers have left.
+ * Blocks placement until a started node has the configuration in force. The platform's answer alone
+ * is sufficient only if its machine list contains no other balancer, so that a stale platform
+ * can't return a restarted node to a version that its peers have already replaced.
  */
 class JoinController {
  public:
@@ -37,18 +37,18 @@
   void onPeerAnswered(const std::string& name, ConfigVersion version);
   void onPlatformConfiguration() { platform_answered_ = true; }
 
-  /** @param listed_peers balancers in the platform's list besides this one. */
+  /** @param listed_peers number of balancers in the platform's list, excluding this one. */
   void onMachineList(std::size_t listed_peers);
 
   void onConfiguration(ConfigVersion version) { version_ = version; }
 
   /**
-   * @return true if a first document of that version may be taken from the platform: peers that
-   * could know a newer one have answered, or the wait is over.
+   * @return true if a first document of that version may be adopted from the platform: enough peers
+   * have answered and none has a newer one, or the join timed out.
    */
   bool mayAdoptFromPlatform(ConfigVersion version) const;
 
-  /** Re-evaluates the state; to be called from the node's tick. */
+  /** Updates the state; called from the node's tick. */
   void onTick();
 
   JoinState state() const { return state_; }
@@ -70,7 +70,7 @@
   JoinState state_ = JoinState::Joining;
 };
 
-/** Stable name of a state, for logs and status. */
+/** @return the name of a state in logs and status output. */
 const char* toString(JoinState state);
 
 }  // namespace lugfork
--- a/src/cluster/load_gossip.cc
+++ b/src/cluster/load_gossip.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Smallest difference of a count that can be significant. */
+/** Minimum absolute difference of a count that is significant. */
 constexpr double kMinSignificantChange = 2;
-/** Reports from the future, beyond this clock skew, are taken as of now. */
+/** Timestamps ahead of the local clock are capped at this skew [ms]. */
 constexpr std::uint64_t kMaxClockSkewMs = 1000;
 
 bool isHealthy(const BackendObservation& observation) {
@@ -44,7 +44,7 @@
   if (!newer && !first_announcement) {
     return false;
   }
-  // The back end's own word stands until the back end has started again.
+  // A drain announced by the backend itself stays in effect until the backend restarts.
   const bool restarted = newer && indicatesRestart(taken.report, known.report);
   taken.own_word = taken.own_word || (known.own_word && !restarted);
   if (!newer) {
@@ -56,7 +56,7 @@
   const bool refresh_due = now - entry.queued_at >= settings_.refresh_interval;
   const bool changed = priority == ObservationPriority::StateChange;
   entry.observation = taken;
-  // A change of state that is still on its way goes on with the newer report.
+  // A state change that is still being sent continues with the newer report.
   if (changed ||
       (!entry.state_pending && (priority != ObservationPriority::Refresh || refresh_due))) {
     queue(entry, priority);
@@ -85,7 +85,7 @@
                                                  const ReceiverCounts& receivers) {
   std::vector<Entry*> candidates;
   const std::uint64_t now_ms = nowMilliseconds();
-  const auto lifetime_ms = static_cast<std::uint64_t>(
+  const auto ttl_ms = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(settings_.report_ttl).count());
   for (auto& [backend, entry] : entries_) {
     const bool state = entry.priority == ObservationPriority::StateChange;
@@ -93,7 +93,7 @@
         scope == ObservationScope::All || state == (scope == ObservationScope::StateChanges);
     const bool unsent = entry.transmissions < transmissionLimit(entry.priority, receivers);
     entry.state_pending = entry.state_pending && unsent;
-    const bool current = entry.observation.report.measured_at_ms + lifetime_ms > now_ms;
+    const bool current = entry.observation.report.measured_at_ms + ttl_ms > now_ms;
     if (in_scope && unsent && (current || entry.observation.own_word)) {
       candidates.push_back(&entry);
     }
@@ -136,7 +136,8 @@
 }
 
 bool LoadGossip::indicatesRestart(const BackendReport& report, const BackendReport& known) {
-  // Start times of one process differ by the delay of the probes and the clocks' skew.
+  // Start times computed for the same process differ by probe delay and clock skew, so the start is
+  // compared with the time of the known report.
   return report.reachable && startedAtMs(report) > known.measured_at_ms;
 }
 
--- a/src/cluster/load_gossip.h
+++ b/src/cluster/load_gossip.h
@@ -8,40 +8,40 @@
 
 namespace lugfork {
 
-/** Tunables of the spread of health and load. */
+/** Settings of the gossip about health and load. */
 struct LoadGossipSettings {
-  /** Change of open connections or requests that counts as significant. */
+  /** Relative change of open connections or requests that counts as significant. */
   double significant_change_fraction = 0.2;
-  /** An unchanged report is sent on again after this time. */
+  /** An unchanged report is sent again after this time. */
   Duration refresh_interval = seconds(1);
-  /** A report older than this is not sent any more. */
+  /** A report older than this is no longer sent. */
   Duration report_ttl = seconds(30);
-  /** A report of state is sent this factor times log2(receivers) times, others once less often. */
+  /** State changes are sent this factor times log2(receivers) times, others log2(receivers). */
   double retransmit_factor = 3;
 };
 
-/** Order in which observations compete for the bytes of a message. */
+/** Priority of observations for the space in a message, highest first. */
 enum class ObservationPriority { StateChange, LoadChange, Refresh };
 
-/** Which observations a message is for. */
+/** Kinds of observations that a message carries. */
 enum class ObservationScope {
   StateChanges,
-  /** Load only, for what a message has room for besides. */
+  /** Load only, to fill the remaining space of a message. */
   Load,
   All,
 };
 
-/** Nodes that observations are meant for; sets the number of transmissions. */
+/** Number of nodes that observations are sent to; determines the number of transmissions. */
 struct ReceiverCounts {
-  /** Receivers of changes of state. */
+  /** Receivers of state changes. */
   std::size_t fleet = 0;
-  /** Receivers of load. */
+  /** Receivers of load reports. */
   std::size_t zone = 0;
 };
 
 /**
- * Spreads reports about back ends by gossip: changes of state first and everywhere, changes of
- * load next, refreshes with what is left. Holds one observation for each back end it heard of.
+ * Disseminates reports about backends by gossip. State changes go first and to the whole fleet,
+ * then load changes, then refreshes as space permits. Holds one observation per known backend.
  */
 class LoadGossip {
  public:
@@ -49,29 +49,32 @@
       : settings_(settings), time_source_(time_source) {}
 
   /**
-   * Takes an observation of this node or of a peer.
-   * @return true if it is news; then the caller takes it into its own view as well.
+   * Handles an observation made by this node or received from a peer.
+   * @return true if it is newer than the one held; then the calling code applies it as well.
    */
   bool onObservation(const BackendObservation& observation);
 
-  /** Notes that the back end announced on the data path to drain. @return true if it is news. */
+  /**
+   * Records that a backend announced on the data path that it drains.
+   * @return true if this was not known yet.
+   */
   bool onDrainAnnounced(BackendId backend);
 
   /**
-   * Takes observations for one message, most important first.
-   * @param bytes room in the message.
+   * Selects observations for one message, highest priority first.
+   * @param bytes space for observations in the message [bytes].
    */
   std::vector<BackendObservation> take(ObservationScope scope, std::size_t bytes,
                                        const ReceiverCounts& receivers);
 
-  /** @return what is known of back ends that should get no new work, at most the given number. */
+  /** @return observations of backends that should get no new flows, at most the given number. */
   std::vector<BackendObservation> unhealthy(std::size_t limit) const;
 
-  /** @return true if a change of state waits to be sent for the first time. */
+  /** @return true if a state change is pending and has not been sent yet. */
   bool hasUrgent() const { return urgent_; }
   void clearUrgent() { urgent_ = false; }
 
-  /** @return the observation held for a back end, or nullptr. */
+  /** @return the observation held for a backend, or nullptr. */
   const BackendObservation* find(BackendId backend) const;
   std::size_t size() const { return entries_.size(); }
 
@@ -81,16 +84,16 @@
  private:
   struct Entry {
     BackendObservation observation;
-    /** Report whose load was last sent as news. */
+    /** Report when last queued; reference for detecting significant load changes. */
     BackendReport baseline;
     ObservationPriority priority = ObservationPriority::StateChange;
     std::uint32_t transmissions = 0;
-    /** A change of state has not been sent often enough yet. */
+    /** A state change has not reached its transmission limit yet. */
     bool state_pending = false;
     MonotonicTime queued_at;
   };
 
-  /** @return true if the report shows another process of the back end than the one known. */
+  /** @return true if the report comes from a later run of the backend than the known report. */
   static bool indicatesRestart(const BackendReport& report, const BackendReport& known);
   ObservationPriority classify(const Entry& entry, const BackendObservation& observation) const;
   bool isSignificant(std::uint32_t before, std::uint32_t after) const;
--- a/src/cluster/membership.cc
+++ b/src/cluster/membership.cc
@@ -8,18 +8,18 @@
 namespace {
 
 constexpr std::size_t kNoIndex = static_cast<std::size_t>(-1);
-/** Encoded size of a record without its two names. */
+/** Encoded size of a record without its two strings. */
 constexpr std::size_t kRecordOverheadBytes = 24;
-/** Intervals after which an unanswered ping is forgotten. */
+/** An unanswered ping expires after this many probe intervals. */
 constexpr int kPingTtlIntervals = 10;
-/** Random draws for each wanted member before all members are looked through. */
+/** Random draws per requested member before falling back to a scan over all members. */
 constexpr std::size_t kDrawsPerMember = 4;
 
 std::size_t encodedBytes(const MemberRecord& record) {
   return kRecordOverheadBytes + record.name.size() + record.zone.size();
 }
 
-/** @return true if the record says something newer than what is known. */
+/** @return true if the record overrides the known one: newer incarnation, or a later state. */
 bool supersedes(const MemberRecord& record, const MemberRecord& known) {
   return record.incarnation != known.incarnation ? record.incarnation > known.incarnation
                                                  : record.state > known.state;
@@ -50,7 +50,7 @@
     probeIndirectly();
   }
   if (now >= next_probe_at_) {
-    // The first probes of a fleet that starts at once are spread over the interval.
+    // Spreads the first probes of nodes that start simultaneously over the interval.
     const bool first = next_probe_at_ == MonotonicTime();
     const auto interval = static_cast<std::uint64_t>(settings_.probe_interval.count());
     finishProbe();
@@ -141,19 +141,19 @@
   addUpdate(nodeIdFromName(self_.name));
 }
 
-std::vector<MemberRecord> Membership::takeUpdates(const MemberRecord* about, std::size_t bytes) {
+std::vector<MemberRecord> Membership::takeUpdates(const MemberRecord* receiver, std::size_t bytes) {
   std::vector<MemberRecord> taken;
   std::size_t used = 0;
-  if (about != nullptr && about->state != MemberState::Alive) {
-    taken.push_back(*about);
-    used += encodedBytes(*about);
+  if (receiver != nullptr && receiver->state != MemberState::Alive) {
+    taken.push_back(*receiver);
+    used += encodedBytes(*receiver);
   }
   const auto fewer_transmissions = [](const Update& left, const Update& right) {
     return left.transmissions < right.transmissions;
   };
   std::stable_sort(updates_.begin(), updates_.end(), fewer_transmissions);
   for (Update& update : updates_) {
-    const std::size_t index = indexOf(update.about);
+    const std::size_t index = indexOf(update.member_id);
     const MemberRecord& record = index == kNoIndex ? self_ : members_[index];
     if (used + encodedBytes(record) > bytes) {
       break;
@@ -164,7 +164,7 @@
   }
   const std::uint32_t limit = retransmitLimit();
   std::erase_if(updates_, [limit](const Update& update) { return update.transmissions >= limit; });
-  // Anti-entropy: one member at random tells the receiver what a lost update did not.
+  // Anti-entropy: one random record per message makes up for lost updates.
   if (!members_.empty()) {
     const MemberRecord& record = members_[random_.below(members_.size())];
     const bool fits = used + encodedBytes(record) <= bytes;
@@ -219,7 +219,8 @@
   if (!supersedes(record, self_)) {
     return;
   }
-  // Also a record of an earlier life under a clock that was ahead is refuted.
+  // Also refutes a record of an earlier run whose incarnation is higher because the clock was
+  // ahead.
   self_.incarnation = record.incarnation + 1;
   addUpdate(nodeIdFromName(self_.name));
   log_.write(LogLevel::Info, "membership", "refuted",
@@ -287,9 +288,10 @@
       added ? live_in_local_zone_ + in_local_zone : live_in_local_zone_ - in_local_zone;
 }
 
-void Membership::addUpdate(NodeId about) {
-  const auto found = std::find_if(updates_.begin(), updates_.end(),
-                                  [about](const Update& update) { return update.about == about; });
+void Membership::addUpdate(NodeId member_id) {
+  const auto found =
+      std::find_if(updates_.begin(), updates_.end(),
+                   [member_id](const Update& update) { return update.member_id == member_id; });
   if (found != updates_.end()) {
     found->transmissions = 0;
     return;
@@ -301,7 +303,7 @@
         });
     updates_.erase(most_transmitted);
   }
-  updates_.push_back({about, 0});
+  updates_.push_back({member_id, 0});
 }
 
 void Membership::probeNext() {
@@ -416,13 +418,13 @@
   }
   members_.pop_back();
   std::erase(probe_order_, id);
-  std::erase_if(updates_, [id](const Update& update) { return update.about == id; });
+  std::erase_if(updates_, [id](const Update& update) { return update.member_id == id; });
 }
 
-std::uint64_t Membership::ping(Endpoint peer, const MemberRecord* about, SentPing sent) {
+std::uint64_t Membership::ping(Endpoint peer, const MemberRecord* target, SentPing sent) {
   const std::uint64_t sequence = ++next_sequence_;
   sent_pings_[sequence] = sent;
-  host_.sendPing(peer, sequence, about);
+  host_.sendPing(peer, sequence, target);
   return sequence;
 }
 
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -11,46 +11,46 @@
 
 namespace lugfork {
 
-/** Tunables of the failure detector and of the spread of rumours. */
+/** Settings of the failure detector and of the dissemination of membership updates. */
 struct MembershipSettings {
-  /** One member is probed in each interval. */
+  /** One member is probed per interval. */
   Duration probe_interval = seconds(1);
-  /** Time after which an unanswered direct probe is repeated through other members. */
+  /** Timeout of a direct probe; after it the target is probed through other members. */
   Duration probe_timeout = milliseconds(300);
-  /** Members through which an indirect probe goes. */
+  /** Number of members that are asked to probe the target indirectly. */
   std::size_t indirect_probes = 3;
-  /** A suspect is declared dead after this factor times log10(members) probe intervals. */
+  /** A suspect is marked dead after this factor times log10(members) probe intervals. */
   double suspicion_factor = 4;
-  /** A update is sent this factor times log2(members) times. */
+  /** An update is sent this factor times log2(members) times. */
   double retransmit_factor = 3;
-  /** Rumours waiting at a time; beyond it the most sent one is dropped. */
+  /** Maximum number of pending updates; beyond it the one sent most often is evicted. */
   std::size_t max_updates = 256;
-  /** A member believed dead, or a seed that is no member yet, is tried in each interval. */
+  /** One dead member, or one seed that isn't a member yet, is pinged per interval. */
   Duration reconnect_interval = seconds(5);
-  /** Interval of the same while no member is known. */
+  /** Replaces reconnect_interval while there are no live members. */
   Duration join_interval = milliseconds(200);
-  /** Seeds tried at a time while no member is known. */
+  /** Number of seeds pinged at a time while there are no live members. */
   std::size_t join_fanout = 3;
-  /** A dead member is forgotten after this time. */
+  /** A dead member is pruned after this time. */
   Duration dead_member_ttl = std::chrono::hours(6);
-  /** Members on one page of the member list. */
+  /** Number of members on one page of the member list. */
   std::size_t page_size = 500;
 };
 
-/** A balancer that the platform lists. */
+/** A balancer in the platform's machine list. */
 struct MemberSeed {
   std::string name;
   std::string zone;
   Endpoint peer_address;
 };
 
-/** Sends the messages that membership asks for, and hears of changes. */
+/** Sends the messages of the membership protocol and receives its change notifications. */
 class MembershipHost {
  public:
   virtual ~MembershipHost() = default;
 
-  /** @param about member that the ping goes to; nullptr where it is no member yet. */
-  virtual void sendPing(Endpoint peer, std::uint64_t sequence, const MemberRecord* about) = 0;
+  /** @param target member that the ping is sent to; nullptr if it isn't a member yet. */
+  virtual void sendPing(Endpoint peer, std::uint64_t sequence, const MemberRecord* target) = 0;
   virtual void sendPingAck(Endpoint peer, std::uint64_t sequence) = 0;
   virtual void sendPingRequest(Endpoint via, std::uint64_t sequence, Endpoint target) = 0;
   virtual void sendMembersRequest(Endpoint peer, std::uint32_t from_index) = 0;
@@ -58,65 +58,69 @@
 };
 
 /**
- * SWIM-style membership: one probe an interval to a member in shuffled round-robin order, indirect
- * probes, suspicion and refutation by incarnation, rumours carried by other messages. Messages of
- * a node and second do not depend on the number of members; memory does.
+ * SWIM-style membership: one probe per interval in shuffled round-robin order, indirect probes,
+ * suspicion, refutation by incarnation, and updates piggybacked on other messages. The number of
+ * messages that a node sends per second does not depend on the number of members; memory does.
  */
 class Membership {
  public:
   Membership(MembershipSettings settings, MemberRecord self, const TimeSource& time_source,
              RandomGenerator& random, MembershipHost& host, EventLog& log);
 
-  /** Takes the platform's list: it says whom to ask, never who is alive or dead. */
+  /** Sets the peers to contact. The platform's list never marks a member as alive or dead. */
   void setSeeds(std::vector<MemberSeed> seeds);
 
   void onTick();
 
-  /** Takes the sender's own record and the rumours of a message. */
+  /** Applies the sender's own record and the updates in a message. */
   void onGossip(const GossipHeader& gossip);
   void onPing(Endpoint from, std::uint64_t sequence);
   void onPingRequest(Endpoint from, std::uint64_t sequence, Endpoint target);
 
-  /** @return when the acknowledged ping was sent; nothing for an unknown or late one. */
+  /** @return when the acknowledged ping was sent; nullopt if it is unknown or has expired. */
   std::optional<MonotonicTime> onPingAck(Endpoint from, std::uint64_t sequence);
   void onMembersReply(Endpoint from, const MembersReply& reply);
   MembersReply membersPage(std::uint32_t from_index) const;
 
-  /** This process did not run for a while: probes from before say nothing about others. */
+  /**
+   * Handles a pause of this process: discards the probe in flight and restarts suspicion timeouts,
+   * since missing answers don't indicate failures of other members.
+   */
   void onPause();
 
-  /** Pings some live members at once, to have the view confirmed. */
+  /** Pings random live members immediately so that their answers confirm the view. */
   void pingRandomMembers(std::size_t count);
 
   /** Announces that this node is leaving. */
   void startLeaving();
 
   /**
-   * Takes rumours for one message, the least sent first.
-   * @param about the receiver if it is a member: it hears first what is said of itself.
-   * @param bytes room in the message.
+   * Selects updates for one message, those with the fewest transmissions first.
+   * @param receiver the receiver if it is a member; its own record is sent first unless it is
+   * alive, so that it can refute it.
+   * @param bytes space for updates in the message [bytes].
    */
-  std::vector<MemberRecord> takeUpdates(const MemberRecord* about, std::size_t bytes);
+  std::vector<MemberRecord> takeUpdates(const MemberRecord* receiver, std::size_t bytes);
 
   const MemberRecord& self() const { return self_; }
 
-  /** @return all known members without this node, the dead included. */
+  /** @return all known members except this node, including dead ones. */
   const std::vector<MemberRecord>& members() const { return members_; }
   const MemberRecord* member(const std::string& name) const;
 
-  /** @return up to count distinct live members, drawn at random; of one zone unless empty. */
+  /** @return up to count distinct random live members, restricted to a zone unless it is empty. */
   std::vector<MemberRecord> randomLive(std::size_t count, const std::string& zone = "");
 
-  /** @return live members (alive or suspected) without this node. */
+  /** @return number of live members (alive or suspect), excluding this node. */
   std::size_t liveCount() const { return live_count_; }
 
-  /** @return live members of this node's zone, without this node. */
+  /** @return number of live members of the local zone, excluding this node. */
   std::size_t liveInLocalZone() const { return live_in_local_zone_; }
 
-  /** @return listed balancers besides this one. */
+  /** @return number of listed balancers, excluding this one. */
   std::size_t seedCount() const { return seeds_.size(); }
 
-  /** Changes with every change of the set of live members. */
+  /** @return a counter that changes whenever the set of live members or their zones changes. */
   std::uint64_t liveGeneration() const { return live_generation_; }
 
  private:
@@ -129,16 +133,19 @@
   };
   struct SentPing {
     MonotonicTime sent_at;
-    /** Where the acknowledgement is passed on to; unset for this node's own probes. */
+    /** Peer that the acknowledgement is relayed to; unset for this node's own probes. */
     Endpoint requester;
     std::uint64_t requester_sequence = 0;
   };
   struct Update {
-    NodeId about;
+    NodeId member_id;
     std::uint32_t transmissions = 0;
   };
 
-  /** Whether a record is passed on as a update: those of a member list are known already. */
+  /**
+   * Whether a record is disseminated as an update. Records from a member list are not, since other
+   * members know them already.
+   */
   enum class Disseminate { Yes, No };
 
   void onRecord(const MemberRecord& record, Disseminate disseminate);
@@ -147,7 +154,7 @@
   void updateMember(MemberRecord& member, const MemberRecord& record, Disseminate disseminate);
   void setState(MemberRecord& member, MemberState state, Disseminate disseminate);
   void countLive(const MemberRecord& member, bool added);
-  void addUpdate(NodeId about);
+  void addUpdate(NodeId member_id);
   void probeNext();
   void finishProbe();
   void probeIndirectly();
@@ -156,7 +163,7 @@
   std::vector<const MemberSeed*> unreachedSeeds() const;
   void pruneDead();
   void removeMember(NodeId id);
-  std::uint64_t ping(Endpoint peer, const MemberRecord* about, SentPing sent);
+  std::uint64_t ping(Endpoint peer, const MemberRecord* target, SentPing sent);
   void expirePings();
   std::size_t indexOf(NodeId id) const;
   Duration suspicionTimeout() const;
@@ -187,12 +194,12 @@
   bool members_requested_ = false;
 };
 
-/** @return true for a member that takes part in the work of the fleet. */
+/** @return true for a member that is alive or suspect. */
 inline bool isLive(const MemberRecord& member) {
   return member.state == MemberState::Alive || member.state == MemberState::Suspect;
 }
 
-/** Stable name of a state, for logs and status. */
+/** @return the name of a state in logs and status output. */
 const char* toString(MemberState state);
 
 }  // namespace lugfork
--- a/src/cluster/probe_assignment.cc
+++ b/src/cluster/probe_assignment.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Weight of a balancer for a back end: a finalizer of a 64-bit mix over both ids. */
+/** Rendezvous weight of a balancer for a backend: 64-bit mix finalizer over both ids. */
 std::uint64_t rendezvousWeight(NodeId node, BackendId backend) {
   std::uint64_t value = node.value() ^ (backend.value() * 0x9e3779b97f4a7c15ULL);
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -15,7 +15,7 @@
   return value ^ (value >> 31);
 }
 
-/** @return true if fewer than the wanted number of others rank above this node. */
+/** @return true if fewer than the wanted number of other nodes rank above this node. */
 bool ranksAmongTop(NodeId self, BackendId backend, const std::vector<NodeId>& others,
                    std::size_t wanted) {
   const std::uint64_t self_weight = rendezvousWeight(self, backend);
@@ -74,7 +74,7 @@
     return due;
   }
   const Duration step = interval() / static_cast<std::int64_t>(backends_.size());
-  // After a pause the schedule starts anew instead of catching up.
+  // After a pause the schedule restarts instead of catching up on missed probes.
   next_at_ = std::max(next_at_, now - std::min<Duration>(interval(), seconds(1)));
   while (next_at_ <= now && due.size() < backends_.size()) {
     next_at_ += step;
--- a/src/cluster/probe_assignment.h
+++ b/src/cluster/probe_assignment.h
@@ -9,23 +9,23 @@
 
 namespace lugfork {
 
-/** Tunables of health probes. */
+/** Settings of health probes. */
 struct ProbeSettings {
-  /** Balancers that probe each back end. */
+  /** Number of balancers that probe each backend. */
   std::size_t probers_per_backend = 2;
-  /** Shortest time between two probes of one back end by one balancer. */
+  /** Minimum time between two probes of one backend by one balancer. */
   Duration min_interval = seconds(1);
-  /** Most probes that a balancer sends a second; a longer list is probed less often. */
+  /** Maximum probe rate of a balancer [1/s]; with many backends each is probed less often. */
   std::size_t max_probes_per_second = 4;
 };
 
 /**
- * Picks the back ends that this node probes. Each back end is probed by the live balancers of its
- * zone that rank highest by rendezvous hashing, so all nodes with one view agree without a word,
- * and a change of one balancer moves only its share. A zone without a live balancer is probed by
- * the highest ranking ones of all zones.
- * @param live live members besides this node.
- * @return back ends to probe, in the configuration's order.
+ * Selects the backends that this node probes. Each backend is probed by the live balancers of its
+ * zone that rank highest by rendezvous hashing. Nodes with the same view therefore agree without
+ * communication, and a change of one balancer moves only the backends assigned to it. Backends in
+ * a zone without live balancers are probed by the highest ranking balancers of all zones.
+ * @param live live members, excluding this node.
+ * @return backends to probe, in the order of the configuration.
  */
 std::vector<BackendId> assignProbes(const ConfigurationView& configuration,
                                     const MemberRecord& self, const std::vector<MemberRecord>& live,
@@ -38,12 +38,12 @@
 
   void setAssignment(std::vector<BackendId> backends);
 
-  /** @return back ends to probe now. */
+  /** @return backends to probe now. */
   std::vector<BackendId> due(MonotonicTime now);
 
   const std::vector<BackendId>& assignment() const { return backends_; }
 
-  /** @return time between two probes of one back end. */
+  /** @return time between two probes of one backend. */
   Duration interval() const;
 
  private:
--- a/src/cluster/view_lease.h
+++ b/src/cluster/view_lease.h
@@ -4,45 +4,45 @@
 
 namespace lugfork {
 
-/** Tunables of the view lease. */
+/** Settings of the view lease. */
 struct ViewLeaseSettings {
-  /** A view counts as fresh this long after the request that confirmed it was sent. */
+  /** A view is fresh for this time after the request whose answer confirmed it was sent. */
   Duration lease = seconds(3);
-  /** Time without a tick from which the process counts as paused. */
+  /** The process counts as paused if there was no tick for this time. */
   Duration pause_threshold = seconds(1);
-  /** A running process that nothing confirmed this long places with what it has. */
+  /** A running process whose stale view isn't confirmed within this time places with it anyway. */
   Duration isolation_timeout = seconds(5);
-  /** Without the lease a node always places; for experiments only. */
+  /** If false, the view always counts as fresh; for experiments only. */
   bool enabled = true;
 };
 
-/** How far the node may trust its view. */
+/** Freshness of the node's view. */
 enum class ViewState {
   Fresh,
-  /** The lease has run out; new work waits for a confirmation. */
+  /** The lease has expired; new flows are not placed until the view is confirmed. */
   Stale,
-  /** Nothing confirmed the view for the isolation limit; the node goes on alone. */
+  /** The view was not confirmed within the isolation timeout; the node places with it anyway. */
   Degraded,
 };
 
 /**
- * Says whether the node's view is fresh enough to place new work. A confirmation counts from the
- * time at which its request was sent, so that answers which waited in a buffer through a pause
- * of this process prove nothing. Pauses themselves show as a gap between ticks.
+ * Decides whether the node's view is fresh enough to place new flows. A confirmation counts from
+ * the time its request was sent, so that answers buffered during a pause of this process don't
+ * renew the lease. Pauses are detected as gaps between ticks.
  */
 class ViewLease {
  public:
   ViewLease(ViewLeaseSettings settings, const TimeSource& time_source);
 
-  /** Notes that the process runs. @return true if it was paused since the last tick. */
+  /** Records that the process is running. @return true if it was paused since the last tick. */
   bool onTick();
 
-  /** Notes that a peer or the platform answered a request sent at the given time. */
+  /** Records that a peer or the platform answered a request sent at the given time. */
   void onConfirmed(MonotonicTime requested_at);
 
   ViewState state() const;
 
-  /** @return time since the request whose answer last confirmed the view. */
+  /** @return time since the request that last confirmed the view was sent. */
   Duration age() const { return time_source_.monotonicTime() - confirmed_at_; }
 
   /** @return true once half of the lease has passed without a confirmation. */
@@ -53,7 +53,7 @@
   const TimeSource& time_source_;
   MonotonicTime last_tick_;
   MonotonicTime confirmed_at_;
-  /** Start of the time in which the process has run without a pause. */
+  /** Time since which the process has run without a pause. */
   MonotonicTime running_since_;
 };
 
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -11,8 +11,8 @@
 namespace lugfork {
 
 /**
- * Indexed configuration, shared between modules by pointer. Made of a document it never changes;
- * only a LiveConfiguration, which is one, is kept up to date in place.
+ * Indexed configuration, shared between modules by pointer. Immutable if constructed from a
+ * document; only the subclass LiveConfiguration is updated in place.
  */
 class ConfigurationView {
  public:
@@ -21,13 +21,13 @@
   ConfigurationView& operator=(const ConfigurationView&) = delete;
 
   /**
-   * @return what the view was made of. That of a LiveConfiguration holds zones and services only:
-   * its back ends and routes stand in the index and nowhere else.
+   * @return the document that the view was constructed from. In a LiveConfiguration it contains
+   * only zones and services; backends and routes are held by the indexes alone.
    */
   const Configuration& document() const { return document_; }
   ConfigVersion version() const { return document_.version; }
 
-  /** @return the resource, or nullptr where none has that id, name or address. */
+  /** @return the resource, or nullptr if none has that id, name or address. */
   const Service* serviceAt(Endpoint address) const;
   const Route* routeAt(Endpoint address) const;
   const Service* service(ServiceId id) const;
@@ -37,12 +37,12 @@
   const Zone* zone(ZoneId id) const;
   const TokenKey* key(KeyId id) const;
 
-  /** @return the key that seals new tokens, or nullptr in an empty configuration. */
+  /** @return the key that seals new tokens, or nullptr if the configuration has no keys. */
   const TokenKey* sealingKey() const { return sealing_key_; }
 
   /**
-   * @return the back ends declared for a service; none is retired. In the document's order where
-   * the view is made of one.
+   * @return the backends declared for a service, excluding retired ones; in the document's order if
+   * the view was constructed from one.
    */
   const std::vector<const Backend*>& backendsOf(ServiceId service) const {
     return backends_.of(service);
--- a/src/config/configuration_delta.cc
+++ b/src/config/configuration_delta.cc
@@ -42,7 +42,7 @@
   }
 }
 
-/** Puts the encoded resource into the sorted list, in place of the one with its id. */
+/** Inserts the encoded resource into the sorted list or replaces the one with the same id. */
 template <typename Resource>
 bool putResource(std::vector<Resource>& resources, const ResourceRecord& record) {
   Resource resource;
@@ -96,7 +96,7 @@
   }
 }
 
-/** Gathers the values of one field and reports those that occur twice. */
+/** Collects the values of one field and reports duplicates. */
 template <typename Value>
 class UniqueField {
  public:
@@ -263,7 +263,7 @@
 }
 
 ConfigurationDelta mergeDeltas(const ConfigurationDelta& first, const ConfigurationDelta& second) {
-  // Each resource ends in the state that the later delta that names it gives.
+  // For each resource the later delta that contains it takes precedence.
   std::map<ResourceKey, std::optional<ResourceRecord>> last;
   for (const ConfigurationDelta* delta : {&first, &second}) {
     for (const ResourceRecord& record : delta->changed) {
@@ -309,11 +309,11 @@
     subtract_old_digest(record.key);
     digest += resourceDigest(record);
     if (!putRecord(result, record)) {
-      return DocumentProblems{{"", "a resource of the delta can't be decoded"}};
+      return DocumentProblems{{"", "cannot decode a resource of the delta"}};
     }
   }
   if (digest != delta.to.digest) {
-    return DocumentProblems{{"", "the result of the delta has another digest than announced"}};
+    return DocumentProblems{{"", "digest of the result differs from the digest in the delta"}};
   }
   result.version = delta.to.version;
   DocumentProblems problems = checkConfiguration(result);
--- a/src/config/configuration_document.cc
+++ b/src/config/configuration_document.cc
@@ -37,7 +37,7 @@
   return *kSchema;
 }
 
-/** Turns the schema validator's "<root>[a][0]" into a JSON pointer. */
+/** Converts the schema validator's context, such as "<root>[a][0]", to a JSON pointer. */
 std::string pointerFromContext(const std::vector<std::string>& context) {
   std::string pointer;
   for (std::size_t index = 1; index < context.size(); ++index) {
@@ -65,7 +65,7 @@
   return problems;
 }
 
-/** Builds a Configuration from a document of the right shape and gathers what is wrong. */
+/** Builds a Configuration from a document that matches the schema and collects problems. */
 class DocumentReader {
  public:
   explicit DocumentReader(const json& document) : document_(document) {}
@@ -83,14 +83,14 @@
   DocumentProblems takeProblems() { return std::move(problems_); }
 
  private:
-  void problem(std::string path, std::string message) {
+  void addProblem(std::string path, std::string message) {
     problems_.push_back({std::move(path), std::move(message)});
   }
 
   template <typename Value>
   void requireUnique(std::set<Value>& seen, const Value& value, const std::string& path) {
     if (!seen.insert(value).second) {
-      problem(path, "is used by another resource of this kind");
+      addProblem(path, "is used by another resource of this kind");
     }
   }
 
@@ -98,8 +98,8 @@
                         const char* field) {
     const auto endpoint = parseEndpoint(resource[field].get<std::string>());
     if (!endpoint) {
-      problem(pathOf(collection, index, field),
-              "must be an IPv4 address and a port, for example 10.0.0.1:443");
+      addProblem(pathOf(collection, index, field),
+                 "must be an IPv4 address and a port, for example 10.0.0.1:443");
     }
     return endpoint.value_or(Endpoint{});
   }
@@ -183,7 +183,7 @@
       configuration_.keys.push_back(key);
     }
     if (sealing_keys != 1) {
-      problem("/keys", "exactly one key must have \"seals\": true");
+      addProblem("/keys", "exactly one key must have \"seals\": true");
     }
   }
 
@@ -192,14 +192,14 @@
     const int status = sodium_hex2bin(key.secret.data(), key.secret.size(), text.data(),
                                       text.size(), nullptr, &length, nullptr);
     if (status != 0 || length != kTokenSecretBytes || text.size() != 2 * kTokenSecretBytes) {
-      problem(path, "must be 64 hexadecimal digits");
+      addProblem(path, "must be 64 hexadecimal digits");
     }
   }
 
   ZoneId zoneNamed(const std::string& name, const std::string& path) {
     const auto found = zones_by_name_.find(name);
     if (found == zones_by_name_.end()) {
-      problem(path, "names no declared zone: " + name);
+      addProblem(path, "names no declared zone: " + name);
       return ZoneId();
     }
     return found->second;
@@ -208,7 +208,7 @@
   ServiceId serviceNamed(const std::string& name, const std::string& path) {
     const auto found = services_by_name_.find(name);
     if (found == services_by_name_.end()) {
-      problem(path, "names no declared service: " + name);
+      addProblem(path, "names no declared service: " + name);
       return ServiceId();
     }
     return found->second;
--- a/src/config/configuration_store.cc
+++ b/src/config/configuration_store.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Versions that a peer may be behind and still get a delta. */
+/** Maximum number of versions that a peer may be behind and still get a merged delta. */
 constexpr std::size_t kMaxHistoryLength = 64;
-/** Largest delta in one message, below the limit of a peer message. */
+/** Maximum size of a delta in one message, below the size limit of a peer message. */
 constexpr std::size_t kMaxDeltaBytes = 48UL * 1024;
 constexpr std::size_t kResourcesPerBucket = 64;
 constexpr std::uint32_t kMinBuckets = 16;
@@ -80,14 +80,15 @@
     return reject(applied.error());
   }
   auto view = std::make_shared<const ConfigurationView>(std::move(applied.value()));
-  // A delta from an empty configuration would replace all that others hold: not for the history.
+  // A delta from an empty configuration replaces everything and can't be merged with earlier
+  // deltas, so it is not added to the history.
   auto history_delta = from_empty ? nullptr : std::make_shared<const ConfigurationDelta>(delta);
   return adopt(outcome, delta.to, std::move(view), std::move(history_delta));
 }
 
 OfferOutcome ConfigurationStore::offerResources(const ConfigurationId& id,
                                                 const std::vector<ResourceRecord>& resources) {
-  // In order of the keys each resource goes to the end of its list.
+  // Sorted by key, so that each resource is appended to its list.
   ConfigurationDelta full{ConfigurationId(), id, resources, {}};
   std::sort(
       full.changed.begin(), full.changed.end(),
@@ -118,7 +119,7 @@
     }
     break;
   }
-  // A full configuration of the smallest resources would exceed the limit: don't encode it.
+  // Skip encoding if even the smallest resources would exceed the limit.
   constexpr std::size_t kMinRecordBytes = 16;
   if (resourceCount(in_force_->document()) * kMinRecordBytes > kMaxDeltaBytes) {
     return std::nullopt;
--- a/src/config/configuration_store.h
+++ b/src/config/configuration_store.h
@@ -8,38 +8,38 @@
 
 namespace lugfork {
 
-/** What became of a configuration that was offered to the store. */
+/** Result of offering a configuration to the store. */
 enum class OfferOutcome {
   Adopted,
   /** The same version with the same content is in force. */
   AlreadyInForce,
   /** A newer version is in force. */
   Older,
-  /** Same version, other content; the rule in the store kept the one in force. */
+  /** Same version, different content; the store kept the one in force. */
   ConflictKept,
-  /** Same version, other content; the rule in the store took the one that was offered. */
+  /** Same version, different content; the store adopted the offered one. */
   ConflictAdopted,
   Invalid,
-  /** The delta starts from a configuration that is not in force here. */
+  /** The delta starts from a configuration that is not in force. */
   BaseMissing,
 };
 
-/** Resources of a configuration divided into buckets by a hash of their key. */
+/** Resources of a configuration, partitioned into buckets by a hash of their key. */
 struct BucketIndex {
   std::vector<std::vector<ResourceKey>> keys;
   std::vector<std::uint64_t> digests;
 };
 
-/** @return bucket of a resource out of a number of buckets. */
+/** @return the bucket of a resource, below the number of buckets. */
 std::uint32_t bucketOf(ResourceKey key, std::uint32_t bucket_count);
 
 /** @return all resources of a configuration by bucket. */
 BucketIndex makeBucketIndex(const ConfigurationView& view, std::uint32_t bucket_count);
 
 /**
- * Holds the configuration in force and a bounded history of what led to it. The version in force
- * never goes down. Of two documents with the same version every node keeps the one with the
- * higher digest.
+ * Holds the configuration in force and a bounded history of the deltas that led to it. The version
+ * in force never decreases. Of two configurations with the same version every node keeps the one
+ * with the higher digest.
  */
 class ConfigurationStore {
  public:
@@ -49,36 +49,36 @@
   /** Offers a delta from a peer. */
   OfferOutcome offerDelta(const ConfigurationDelta& delta);
 
-  /** Offers a whole configuration that was put together from a peer's buckets. */
+  /** Offers a full configuration assembled from a peer's buckets. */
   OfferOutcome offerResources(const ConfigurationId& id,
                               const std::vector<ResourceRecord>& resources);
 
-  /** @return the configuration in force, or nullptr before the first one. */
+  /** @return the configuration in force, or nullptr if there is none yet. */
   const ConfigurationViewPtr& inForce() const { return in_force_; }
 
-  /** @return the canonical document in force with its secrets; empty before the first one. */
+  /** @return the canonical document in force with its secrets; empty if there is none yet. */
   std::string documentInForce() const;
 
-  /** @return version and digest in force; unset before the first one. */
+  /** @return version and digest in force; unset if there is none yet. */
   const ConfigurationId& id() const { return id_; }
 
-  /** @return the version in force; 0 before the first one. */
+  /** @return the version in force; 0 if there is none yet. */
   ConfigVersion version() const { return id_.version; }
 
-  /** @return what was wrong with the last invalid offer; empty if none was since. */
+  /** @return problems of the last invalid offer; empty if a configuration was adopted since. */
   const DocumentProblems& lastProblems() const { return last_problems_; }
 
-  /** @return a delta from that configuration to the one in force if it fits in one message. */
+  /** @return a delta from that configuration, or the full one, if it fits into one message. */
   std::optional<ConfigurationDelta> deltaFrom(const ConfigurationId& have) const;
 
-  /** @return the resources in force by bucket; kept until the next adoption. */
+  /** @return the resources in force by bucket; cached until the next adoption. */
   const BucketIndex& bucketIndex();
 
-  /** @return number of buckets that suits the configuration in force. */
+  /** @return number of buckets for the size of the configuration in force. */
   std::uint32_t bucketCount() const;
 
  private:
-  /** Weighs an offer against what is in force; Adopted stands for "newer, to be taken". */
+  /** Compares an offer with the configuration in force; Adopted means that it is to be adopted. */
   OfferOutcome evaluateOffer(const ConfigurationId& offered) const;
   OfferOutcome adopt(OfferOutcome outcome, const ConfigurationId& id, ConfigurationViewPtr view,
                      std::shared_ptr<const ConfigurationDelta> delta);
@@ -89,13 +89,13 @@
   ConfigurationId id_;
   DocumentProblems last_problems_;
   std::uint64_t last_text_digest_ = 0;
-  /** Configuration in the last text offered; unset where it was invalid. */
+  /** Configuration in the last text offered; unset if it was invalid. */
   ConfigurationId last_text_id_;
   std::deque<std::shared_ptr<const ConfigurationDelta>> history_;
   std::unique_ptr<BucketIndex> bucket_index_;
 };
 
-/** Stable name of an outcome, for logs. */
+/** @return the name of an outcome in logs. */
 const char* toString(OfferOutcome outcome);
 
 }  // namespace lugfork
--- a/src/config/live_configuration.h
+++ b/src/config/live_configuration.h
@@ -8,24 +8,23 @@
 
 namespace lugfork {
 
-/** How a LiveConfiguration differs from what it was before. */
+/** Changes between two states of a LiveConfiguration. */
 struct ConfigurationChanges {
-  /** Zones, services or the zones that services may use differ: data made of them must be made
-   * anew. */
+  /** Zones, services or their allowed zones have changed; derived data must be rebuilt. */
   bool services = false;
   bool routes = false;
-  /** Back ends that are new or differ; pointers to those that differ stay valid. */
+  /** Backends that are new or have changed; pointers to changed ones stay valid. */
   std::vector<const Backend*> backends;
-  /** Back ends that have started again under their id: nothing that was seen of them holds. */
+  /** Backends that restarted under the same id; earlier observations of them are invalid. */
   std::vector<BackendId> restarted;
-  /** Back ends that are gone; kept until all who hold pointers have let go of them. */
+  /** Removed backends; kept alive until all holders of pointers have released them. */
   std::vector<std::unique_ptr<const Backend>> removed;
 };
 
 /**
- * Configuration that is kept up to date in place, since a new one for each change costs as much as
- * all servers do: 1.5 ms of processor time with 3,000, against 2 us for the one that has changed
- * (control_work_bench). Back ends stay where they are as long as they exist.
+ * Configuration that is updated in place. The cost of a rebuild for each change would grow with the
+ * number of backends: 1.5 ms of CPU time with 3,000 backends, compared with 2 us for updating the
+ * changed one (control_work_bench). Pointers to a backend stay valid until it is removed.
  */
 class LiveConfiguration : public ConfigurationView {
  public:
@@ -35,10 +34,10 @@
   using ConfigurationView::setServices;
   using ConfigurationView::setVersion;
 
-  /** Adds a back end, or takes the new fields of the one with that id. @return where it stands. */
+  /** Adds a backend or updates the one with the same id. @return its permanent location. */
   const Backend* put(Backend backend);
 
-  /** Takes a back end out. @return it, so that others can let go of it; nullptr where none is. */
+  /** Removes a backend. @return the backend, kept alive for remaining users; nullptr if unknown. */
   std::unique_ptr<const Backend> extract(BackendId id);
 
  private:
--- a/src/config/resources.h
+++ b/src/config/resources.h
@@ -10,10 +10,10 @@
 #include "common/ids.h"
 #include "common/time_source.h"
 
-/** Resources that operators declare. */
+/** Resources declared by operators. */
 namespace lugfork {
 
-/** Place that holds balancers and back ends and fails as one. */
+/** Failure domain that contains balancers and backends. */
 struct Zone {
   ZoneId id;
   std::string name;
@@ -22,7 +22,7 @@
   bool operator==(const Zone&) const = default;
 };
 
-/** What callers address, and the zones that may serve it. */
+/** Service that clients address, and the zones whose backends may serve it. */
 struct Service {
   ServiceId id;
   std::string name;
@@ -34,31 +34,31 @@
   bool allowsZone(ZoneId zone) const;
 };
 
-/** One server of a service. */
+/** One backend of a service. */
 struct Backend {
   BackendId id;
   std::string name;
   ServiceId service;
   ZoneId zone;
-  /** Where forwarded datagrams go (UDP). */
+  /** Destination of forwarded datagrams (UDP). */
   Endpoint address;
-  /** Where health and load are read (HTTP). */
+  /** Endpoint that reports health and load (HTTP). */
   Endpoint probe_address;
-  /** Requests that it works on at a time. */
+  /** Maximum number of concurrent requests. */
   std::uint32_t slots = 0;
-  /** Flows that it holds open at a time. */
+  /** Maximum number of open flows. */
   std::uint32_t connections = 0;
-  /** Declared to be leaving: established flows go on, nothing new is placed. */
+  /** Declared as draining: established flows continue, no new flows are placed. */
   bool draining = false;
-  /** No longer declared: reachable for the flows that it may still hold, and nothing else. */
+  /** No longer declared: still reachable, but only for flows that are already established. */
   bool retired = false;
-  /** Until then it is warming up after its start and bears fewer flows; unset for warm. */
+  /** End of the warm-up after its start, until which it gets fewer flows; unset if warm. */
   MonotonicTime cold_until;
-  /** New flows a second that it bears while cold; 0 for no limit. */
+  /** Maximum rate of new flows while cold [1/s]; 0 for no limit. */
   double cold_flows_per_second = 0;
-  /** The id by which the platform knows it, where there is one; else 0. */
+  /** Id in the platform's store; 0 if there is none. */
   std::uint64_t server_id = 0;
-  /** What goes into documents and between balancers. */
+  /** Fields that are part of documents and of messages between balancers. */
   auto fields() {
     return std::tie(id, name, service, zone, address, probe_address, slots, connections, draining);
   }
@@ -67,49 +67,49 @@
 
 inline constexpr std::size_t kTokenSecretBytes = 32;
 
-/** Key that seals placement tokens. */
+/** Key that seals or verifies placement tokens. */
 struct TokenKey {
   KeyId id;
   std::array<std::uint8_t, kTokenSecretBytes> secret{};
-  /** The key that seals new tokens; the others only verify. Exactly one key has this. */
+  /** True for the key that seals new tokens; all others only verify. Exactly one key seals. */
   bool seals = false;
   auto fields() { return std::tie(id, secret, seals); }
   bool operator==(const TokenKey&) const = default;
 };
 
-/** Part of a route's new flows that a service gets. */
+/** A service that gets part of a route's new flows. */
 struct RouteTarget {
   ServiceId service;
-  /** Share of new flows, relative to the route's other targets. */
+  /** Weight relative to the route's other targets. */
   std::uint32_t weight = 1;
   bool operator==(const RouteTarget&) const = default;
 };
 
-/** What the operator says of the requests that callers send on a route. */
+/** Priority and time limits that the operator declares for the requests on a route. */
 struct RequestClass {
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   std::uint32_t priority = 0;
-  /** Time within which an answer is of full use to its caller; zero where that is not told. */
+  /** Time within which an answer is of full use to the client; zero if not declared. */
   Duration target{};
-  /** Time after which the caller has given up; zero where that is not told. */
+  /** Time after which the client gives up; zero if not declared. */
   Duration timeout{};
   bool operator==(const RequestClass&) const = default;
 };
 
-/** Address that callers use, and the services that take its new flows. */
+/** Address used by clients, and the services that get its new flows. */
 struct Route {
   Endpoint address;
   std::vector<RouteTarget> targets;
-  /** Callers send large requests, for which traffic between zones is expensive. */
+  /** Clients send large requests, for which traffic between zones is expensive. */
   bool bulk = false;
   RequestClass request_class = {};
   bool operator==(const Route&) const = default;
 
-  /** @return the service of a flow, the same on every balancer; nothing without any weight. */
+  /** @return the service of a flow, the same on every balancer; nullopt if all weights are 0. */
   std::optional<ServiceId> serviceFor(std::uint64_t flow_hash) const;
 };
 
-/** One version of the whole declared configuration. */
+/** One version of the full declared configuration. */
 struct Configuration {
   ConfigVersion version;
   std::string system;
@@ -117,7 +117,7 @@
   std::vector<Service> services;
   std::vector<Backend> backends;
   std::vector<TokenKey> keys;
-  /** Routes besides the one that each service's own address makes. */
+  /** Routes in addition to those implied by the services' addresses. */
   std::vector<Route> routes;
   bool operator==(const Configuration&) const = default;
 };
--- a/src/config/toml_settings.cc
+++ b/src/config/toml_settings.cc
@@ -34,7 +34,7 @@
   return item;
 }
 
-/** @return the long names of all flags that a settings file may give, for error messages. */
+/** @return the long names of all flags allowed in a settings file, for error messages. */
 std::string allowedKeys(const CLI::App& app) {
   std::string keys;
   for (const CLI::Option* option : app.get_options()) {
@@ -46,7 +46,7 @@
   return keys;
 }
 
-/** Reads TOML with toml++ in place of CLI11's own reader, which takes only part of the format. */
+/** Parses TOML with toml++, since CLI11's own parser supports only part of the format. */
 class TomlConfig : public CLI::ConfigTOML {
  public:
   explicit TomlConfig(const CLI::App& app) : app_(app) {}
@@ -54,7 +54,7 @@
   std::vector<CLI::ConfigItem> from_config(std::istream& input) const override {
     std::vector<CLI::ConfigItem> entries;
     try {
-      // Read first: toml++ goes back to the stream's beginning, which a pipe can't.
+      // Read the whole file first: toml++ seeks to the start of the stream, which fails for a pipe.
       const std::string text{std::istreambuf_iterator<char>(input), {}};
       const toml::table table = toml::parse(text);
       for (const auto& [key, node] : table) {
@@ -62,7 +62,7 @@
         requireKnown(name, key.source().begin.line);
         const toml::array* list = node.as_array();
         if (list != nullptr && list->empty()) {
-          // The same as a key that is not given; CLI11 takes no option without a value.
+          // Treated like a missing key, since CLI11 rejects options without a value.
           continue;
         }
         entries.push_back(toConfigItem(name, node));
@@ -76,7 +76,7 @@
   }
 
  private:
-  /** CLI11's own error for an unknown key names neither what the key is nor what is allowed. */
+  /** Rejects unknown keys. CLI11's own error names neither the key nor the allowed ones. */
   void requireKnown(const std::string& key, toml::source_index line) const {
     const CLI::Option* option = app_.get_option_no_throw("--" + key);
     if (option != nullptr && option->get_configurable() && option != app_.get_config_ptr()) {
@@ -93,7 +93,7 @@
 }  // namespace
 
 void addSettingsFile(CLI::App& app) {
-  app.set_config("--settings", "", "settings file (TOML); each key is a long flag's name");
+  app.set_config("--settings", "", "settings file (TOML); keys are the long names of flags");
   app.config_formatter(std::make_shared<TomlConfig>(app));
   app.allow_config_extras(CLI::config_extras_mode::error);
 }
@@ -102,7 +102,7 @@
   const CLI::Option* file = app.get_config_ptr();
   std::string text;
   if (file != nullptr && file->count() > 0) {
-    // Not as<>(): that throws again where the flag itself was given wrongly.
+    // as<>() would throw again if the flag itself is invalid, for example given twice.
     text = "settings file " + CLI::detail::join(file->results(), ", ") + " or flags: ";
   }
   return text + error.what();
--- a/src/config/toml_settings.h
+++ b/src/config/toml_settings.h
@@ -6,12 +6,12 @@
 namespace lugfork {
 
 /**
- * Lets a program take its settings from a TOML file as well as from flags: each key of the file is
- * the long name of a flag, and flags win. CLI11 checks values and refuses unknown keys.
+ * Adds a flag for a TOML settings file to a program. Each key of the file is the long name of a
+ * flag; flags on the command line take precedence. CLI11 validates values and rejects unknown keys.
  */
 void addSettingsFile(CLI::App& app);
 
-/** @return the error in one line that names the settings file, where there is one, and the key. */
+/** @return the error and its key on one line, prefixed with the settings file if one was given. */
 std::string describeSettingsError(const CLI::App& app, const CLI::Error& error);
 
 }  // namespace lugfork
--- a/tests/cluster/configuration_faults_test.cc
+++ b/tests/cluster/configuration_faults_test.cc
@@ -11,7 +11,7 @@
   return settings;
 }
 
-TEST_CASE("a change that one zone's replica shows is in force everywhere within seconds") {
+TEST_CASE("change in one zone's platform replica is in force on all nodes within 5 s") {
   const HollowFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 0)));
@@ -22,7 +22,8 @@
   CHECK(fleet->configurationReverts() == 0);
 }
 
-TEST_CASE("an hour without the platform changes nothing and a change made meanwhile arrives") {
+TEST_CASE(
+    "platform outage of one hour keeps the configuration and a change made meanwhile is adopted") {
   HollowFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setPlatformReachable("", false);
@@ -36,7 +37,7 @@
   CHECK(fleet->configurationReverts() == 0);
 }
 
-TEST_CASE("a restarted node takes its peers' version although the platform is stale") {
+TEST_CASE("restarted node adopts its peers' version when the platform is stale") {
   const HollowFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   const std::string stale = fleet->platformText();
@@ -49,14 +50,14 @@
   fleet->kill(4);
   fleet->run(seconds(1));
   fleet->start(4);
-  // It must not place before it has the version that its peers have in force.
+  // The node must not place flows before it has the version in force at its peers.
   const auto placing = [&] { return fleet->node(4)->placementBlockedBy() == Reason::None; };
   CHECK(fleet->runUntil(placing, seconds(30)) < seconds(6));
   CHECK(fleet->node(4)->configuration().version() == ConfigVersion(2));
   CHECK(fleet->node(4)->clusterStatus().join == JoinState::Joined);
 }
 
-TEST_CASE("a zone cut off keeps placing and the higher version wins everywhere after the cut") {
+TEST_CASE("partitioned zone keeps placing and the highest version wins after the partition heals") {
   const HollowFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->cutZone("zone-3");
@@ -75,7 +76,7 @@
   CHECK(fleet->configurationReverts() == 0);
 }
 
-TEST_CASE("two contents of one version end as the same one on every node, and are reported") {
+TEST_CASE("conflicting contents of one version converge on all nodes and are reported") {
   const HollowFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-1", documentOf(changedConfiguration(settings, 2, 0)));
@@ -90,7 +91,7 @@
   CHECK(fleet->configurationReverts() == 0);
 }
 
-TEST_CASE("a configuration too large for one message reaches a joining node by buckets") {
+TEST_CASE("configuration too large for one message is fetched by buckets") {
   HollowFleetSettings settings;
   settings.nodes = 4;
   settings.backends = 2000;
@@ -103,7 +104,7 @@
   for (std::size_t index = 0; index < fleet->size(); ++index) {
     CHECK(fleet->counters(index).largest_message < kMaxPeerMessageBytes);
   }
-  // One changed back end travels as a delta.
+  // A change of one backend is sent as a delta.
   const std::uint64_t before = fleet->counters(1).largest_message;
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 7)));
   fleet->run(seconds(5));
--- a/tests/cluster/fleet_fixture.h
+++ b/tests/cluster/fleet_fixture.h
@@ -4,10 +4,10 @@
 
 namespace lugfork {
 
-/** Names a kind of fault in the tables of tests. */
+/** Time after which all nodes of a started fleet have joined. */
 inline constexpr Duration kSettleTime = seconds(8);
 
-/** A fleet that has run long enough for every node to have joined. */
+/** @return a running fleet in which every node has joined. */
 inline std::unique_ptr<HollowFleet> settledFleet(HollowFleetSettings settings) {
   auto fleet = std::make_unique<HollowFleet>(std::move(settings));
   fleet->startAll();
@@ -15,7 +15,7 @@
   return fleet;
 }
 
-/** @return the fleet's configuration with another version and one back end marked as draining. */
+/** @return the fleet's configuration with the given version and one draining backend. */
 inline Configuration changedConfiguration(const HollowFleetSettings& settings,
                                           std::uint64_t version, std::size_t draining_backend) {
   Configuration configuration = HollowFleet::makeConfiguration(settings);
@@ -28,7 +28,7 @@
   return writeConfigurationDocument(configuration, SecretHandling::Include);
 }
 
-/** @return how many nodes place new flows now. */
+/** @return number of nodes that currently place new flows. */
 inline std::size_t placingNodeCount(HollowFleet& fleet) {
   std::size_t count = 0;
   for (std::size_t index = 0; index < fleet.size(); ++index) {
--- a/tests/cluster/load_gossip_test.cc
+++ b/tests/cluster/load_gossip_test.cc
@@ -27,7 +27,7 @@
 
 constexpr ReceiverCounts kReceivers{1000, 100};
 
-TEST_CASE("a change of state goes before a change of load, and load before a refresh") {
+TEST_CASE("state change is sent before load change, and load change before refresh") {
   ManualTimeSource clock;
   LoadGossip gossip(LoadGossipSettings(), clock);
   for (std::uint32_t backend = 1; backend <= 3; ++backend) {
@@ -51,14 +51,14 @@
         2);
 }
 
-TEST_CASE("the back end's own word stands against later reports until it has restarted") {
+TEST_CASE("drain announced by the backend overrides later reports until the backend restarts") {
   ManualTimeSource clock;
   LoadGossip gossip(LoadGossipSettings(), clock);
   gossip.onObservation(observationOf(1, 990000, 100));
   CHECK(gossip.onDrainAnnounced(BackendId(1)));
   CHECK_FALSE(gossip.onDrainAnnounced(BackendId(1)));
   clock.now += seconds(1);
-  // The load endpoint lags and still says that nothing is draining.
+  // The load endpoint lags behind and does not report the drain yet.
   gossip.onObservation(observationOf(1, 1001000, 100));
   CHECK(gossip.find(BackendId(1))->own_word);
   clock.now += seconds(10);
@@ -68,7 +68,7 @@
   CHECK_FALSE(gossip.find(BackendId(1))->own_word);
 }
 
-TEST_CASE("an older report and a repeated one are no news") {
+TEST_CASE("older report and duplicate report are ignored") {
   ManualTimeSource clock;
   LoadGossip gossip(LoadGossipSettings(), clock);
   CHECK(gossip.onObservation(observationOf(1, 1000000, 100)));
@@ -76,7 +76,7 @@
   CHECK_FALSE(gossip.onObservation(observationOf(1, 999000, 300)));
 }
 
-TEST_CASE("at today's size every node knows the load of every back end as of seconds ago") {
+TEST_CASE("every node has load reports of all 19 backends that are less than 5 s old") {
   auto fleet = settledFleet(HollowFleetSettings());
   fleet->run(seconds(10));
   const std::uint64_t now_ms = toUnixMilliseconds(
@@ -91,7 +91,7 @@
   }
 }
 
-TEST_CASE("a drain that one prober sees is known everywhere within seconds") {
+TEST_CASE("drain detected by one prober reaches all nodes within 5 s") {
   HollowFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
@@ -101,7 +101,8 @@
   CHECK(fleet->runUntil(known, seconds(30)) < seconds(5));
 }
 
-TEST_CASE("a node that joins after the gossip about a drain has ended knows of it too") {
+TEST_CASE(
+    "node that joins after the gossip about a drain has ended excludes the draining backend") {
   HollowFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
--- a/tests/cluster/membership_faults_test.cc
+++ b/tests/cluster/membership_faults_test.cc
@@ -11,8 +11,7 @@
   return settings;
 }
 
-TEST_CASE(
-    "all nodes find each other although the platform's list is short and holds a dead entry") {
+TEST_CASE("nodes discover each other from a partial machine list that contains a dead machine") {
   HollowFleet fleet(fleetOf(6));
   fleet.machineList().erase(fleet.machineList().begin() + 2, fleet.machineList().end());
   Machine dead = fleet.machineOf(0);
@@ -27,20 +26,20 @@
   }
 }
 
-TEST_CASE("the platform's list alone neither kills a live member nor revives a dead one") {
+TEST_CASE("machine list alone neither marks a live member dead nor a dead member alive") {
   auto fleet = settledFleet(fleetOf(5));
   fleet->machineList().clear();
   fleet->run(seconds(20));
   CHECK(fleet->node(0)->clusterStatus().live_members == 4);
   fleet->machineList().push_back(fleet->machineOf(4));
   fleet->kill(4);
-  const auto known_dead = [&] { return fleet->allBelieve(4, MemberState::Dead); };
-  CHECK(fleet->runUntil(known_dead, seconds(60)) < seconds(15));
+  const auto marked_dead = [&] { return fleet->allBelieve(4, MemberState::Dead); };
+  CHECK(fleet->runUntil(marked_dead, seconds(60)) < seconds(15));
   fleet->run(seconds(30));
-  CHECK(known_dead());
+  CHECK(marked_dead());
 }
 
-TEST_CASE("a restarted node is a member again under a new incarnation") {
+TEST_CASE("restarted node rejoins with a higher incarnation") {
   auto fleet = settledFleet(fleetOf(5));
   const std::uint64_t before = fleet->node(0)->membership().member("node-5")->incarnation;
   fleet->kill(4);
@@ -52,7 +51,7 @@
   CHECK(fleet->node(0)->membership().member("node-5")->incarnation > before);
 }
 
-TEST_CASE("a false suspicion is refuted and kills nobody") {
+TEST_CASE("false suspicion is refuted and marks no member dead") {
   auto fleet = settledFleet(fleetOf(6));
   GossipHeader gossip;
   gossip.sender = fleet->node(1)->membership().self();
@@ -66,7 +65,7 @@
   CHECK(alive());
 }
 
-TEST_CASE("a node that only one other node can't reach stays alive through indirect probes") {
+TEST_CASE("node unreachable from a single peer stays alive through indirect probes") {
   auto fleet = settledFleet(fleetOf(6));
   fleet->network().cut("node-1", "node-2");
   fleet->network().cut("node-2", "node-1");
@@ -75,7 +74,7 @@
   CHECK(fleet->allBelieve(1, MemberState::Alive));
 }
 
-TEST_CASE("a zone that was believed dead is alive again after the cut") {
+TEST_CASE("zone marked dead during a partition is alive again after it heals") {
   auto fleet = settledFleet(fleetOf(9));
   fleet->cutZone("zone-2");
   fleet->run(seconds(60));
@@ -87,7 +86,7 @@
   }
 }
 
-TEST_CASE("a third of the nodes restarted at once settles without a false death") {
+TEST_CASE("simultaneous restart of a third of the nodes leaves every member live") {
   auto fleet = settledFleet(fleetOf(30));
   for (std::size_t index = 0; index < 30; index += 3) {
     fleet->kill(index);
@@ -100,7 +99,7 @@
   }
 }
 
-TEST_CASE("a planned stop is known everywhere at once and the node places nothing more") {
+TEST_CASE("planned stop reaches all members within 4 s and the leaving node places no flows") {
   auto fleet = settledFleet(fleetOf(30));
   fleet->node(7)->startLeaving();
   CHECK(fleet->node(7)->placementBlockedBy() != Reason::None);
--- a/tests/cluster/probe_assignment_test.cc
+++ b/tests/cluster/probe_assignment_test.cc
@@ -15,7 +15,7 @@
   return member;
 }
 
-/** @return how many of the members probe each back end. */
+/** @return number of members that probe each backend. */
 std::map<BackendId, std::size_t> probersOf(const ConfigurationView& view,
                                            const std::vector<MemberRecord>& members) {
   std::map<BackendId, std::size_t> probers;
@@ -35,7 +35,7 @@
   std::size_t probers_in_zone_1;
 };
 
-TEST_CASE("each back end has its probers, also where its zone has too few balancers or none") {
+TEST_CASE("every backend is probed even if its zone has too few balancers or none") {
   HollowFleetSettings settings;
   settings.backends = 60;
   const ConfigurationView view(HollowFleet::makeConfiguration(settings));
@@ -43,7 +43,7 @@
       {"many in each zone", {5, 5, 5}, 2},
       {"one in the zone", {1, 5, 5}, 1},
       {"none in the zone", {0, 5, 5}, 2},
-      {"one in all", {0, 1, 0}, 1},
+      {"one in the fleet", {0, 1, 0}, 1},
   };
   for (const AssignmentCase& test : cases) {
     INFO(test.name);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("the schedule keeps to its rate and does not catch up after a pause") {
+TEST_CASE("probe schedule keeps its maximum rate and does not catch up after a pause") {
   ProbeSettings settings;
   ProbeSchedule schedule(settings);
   std::vector<BackendId> backends;
--- a/tests/cluster/view_lease_test.cc
+++ b/tests/cluster/view_lease_test.cc
@@ -14,7 +14,10 @@
   return settings;
 }
 
-/** A back end drains while one node is paused; @return whether that node would still use it. */
+/**
+ * Drains a backend while one node is paused.
+ * @return true if that node would place flows on it after resuming.
+ */
 bool placesOnDrainedBackendAfterResuming(bool lease_enabled) {
   const HollowFleetSettings settings = sixNodes(lease_enabled);
   auto fleet = settledFleet(settings);
@@ -23,18 +26,18 @@
   fleet->run(seconds(30));
   fleet->setDraining(backend.id);
   fleet->run(seconds(30));
-  // A caller's datagram is the first thing that the woken process handles.
+  // A client's datagram is handled first after the pause, before any tick.
   const Node& node = *fleet->node(3);
   return node.placementBlockedBy() == Reason::None && node.loads().mayPlace(backend);
 }
 
-TEST_CASE("a process that wakes from a pause places nothing on its old view") {
+TEST_CASE("resumed process places no flows with its stale view") {
   CHECK_FALSE(placesOnDrainedBackendAfterResuming(true));
-  // The harm that the lease prevents.
+  // Without the lease the draining backend is used.
   CHECK(placesOnDrainedBackendAfterResuming(false));
 }
 
-TEST_CASE("a woken process has a fresh view again within two seconds") {
+TEST_CASE("resumed process has a fresh view again within 2 s") {
   auto fleet = settledFleet(sixNodes(true));
   fleet->pause(3);
   fleet->run(seconds(60));
@@ -45,7 +48,7 @@
   CHECK(fleet->node(3)->clusterStatus().view == ViewState::Fresh);
 }
 
-/** Clock that tests set. */
+/** Time source set by the tests. */
 class ManualTimeSource : public TimeSource {
  public:
   MonotonicTime monotonicTime() const override { return now; }
@@ -53,7 +56,7 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("an answer that waited through the pause does not renew the lease") {
+TEST_CASE("answer buffered during a pause does not renew the lease") {
   ManualTimeSource clock;
   ViewLease lease(ViewLeaseSettings(), clock);
   const MonotonicTime requested_at = clock.now;
@@ -72,12 +75,12 @@
   ViewState expected;
 };
 
-TEST_CASE("a node alone goes on after a bounded wait and says so") {
+TEST_CASE("isolated node places flows after the isolation timeout and reports itself degraded") {
   const std::vector<IsolationCase> cases = {
       {"peers and platform", true, true, ViewState::Fresh},
       {"peers only", true, false, ViewState::Fresh},
       {"platform only", false, true, ViewState::Fresh},
-      {"alone", false, false, ViewState::Degraded},
+      {"neither peers nor platform", false, false, ViewState::Degraded},
   };
   for (const IsolationCase& test : cases) {
     INFO(test.name);
@@ -102,7 +105,7 @@
   JoinState expected;
 };
 
-TEST_CASE("a started node places once it knows enough, or after a bounded wait as degraded") {
+TEST_CASE("started node places flows once it has joined, or as degraded after the join timeout") {
   const std::vector<JoinCase> cases = {
       {"peers and platform", true, true, true, JoinState::Joined},
       {"peers only", true, false, true, JoinState::Joined},
@@ -120,7 +123,7 @@
       fleet.start(3);
       fleet.run(kSettleTime);
     }
-    // The list is still read; the configuration is not.
+    // The machine list is read before the platform becomes unreachable, the configuration isn't.
     fleet.start(0);
     CHECK(fleet.node(0)->placementBlockedBy() == Reason::Joining);
     fleet.run(milliseconds(300));
--- a/tests/config/configuration_delta_test.cc
+++ b/tests/config/configuration_delta_test.cc
@@ -25,7 +25,7 @@
   std::size_t removed;
 };
 
-TEST_CASE("a delta holds what differs and leads to the same configuration") {
+TEST_CASE("delta contains only the differences and applying it gives the target configuration") {
   const std::vector<DeltaCase> cases = {
       {"nothing", [](Configuration&) {}, 0, 0},
       {"changed", [](Configuration& c) { c.backends[3].draining = true; }, 1, 0},
@@ -56,7 +56,7 @@
   }
 }
 
-TEST_CASE("a delta whose result breaks a rule or the digest is refused and changes nothing") {
+TEST_CASE("delta with an invalid result or a wrong digest is rejected and changes nothing") {
   ConfigurationStore store;
   store.offer(writeConfigurationDocument(baseConfiguration(), SecretHandling::Include));
   Configuration broken = baseConfiguration();
@@ -79,7 +79,7 @@
   CHECK(store.offerDelta(delta) == OfferOutcome::BaseMissing);
 }
 
-TEST_CASE("a peer some versions behind gets one delta, one from before the history the whole") {
+TEST_CASE("peer within the history gets one merged delta, any other the full configuration") {
   ConfigurationStore store;
   std::vector<ConfigurationId> ids;
   for (std::uint64_t version = 1; version <= 5; ++version) {
@@ -94,11 +94,11 @@
   CHECK(delta->from == ids[2]);
   CHECK(delta->to == ids[4]);
   CHECK(delta->changed.size() == 3);
-  const auto whole = store.deltaFrom({ConfigVersion(1), 1});
-  REQUIRE(whole);
-  CHECK(whole->from == ConfigurationId());
+  const auto full = store.deltaFrom({ConfigVersion(1), 1});
+  REQUIRE(full);
+  CHECK(full->from == ConfigurationId());
   ConfigurationStore joining;
-  CHECK(joining.offerDelta(*whole) == OfferOutcome::Adopted);
+  CHECK(joining.offerDelta(*full) == OfferOutcome::Adopted);
   CHECK(joining.documentInForce() == store.documentInForce());
 }
 
--- a/tests/config/configuration_document_test.cc
+++ b/tests/config/configuration_document_test.cc
@@ -13,8 +13,9 @@
 
 using nlohmann::json;
 
-std::string readExample(const std::string& user) {
-  std::ifstream file(std::string(LUGFORK_SOURCE_DIR) + "/examples/" + user + "/configuration.json");
+std::string readExample(const std::string& example) {
+  std::ifstream file(std::string(LUGFORK_SOURCE_DIR) + "/examples/" + example +
+                     "/configuration.json");
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
@@ -22,9 +23,9 @@
   return json::parse(readExample("radio"));
 }
 
-TEST_CASE("both users' examples are valid and survive writing and reading") {
-  for (const std::string user : {"radio", "veroapu"}) {
-    const auto parsed = parseConfigurationDocument(readExample(user));
+TEST_CASE("example configurations are valid and unchanged after writing and parsing") {
+  for (const std::string example : {"radio", "veroapu"}) {
+    const auto parsed = parseConfigurationDocument(readExample(example));
     REQUIRE(parsed);
     CHECK(parsed.value().backends.size() == 19);
     CHECK(parsed.value().zones.size() == 3);
@@ -33,34 +34,34 @@
   }
 }
 
-TEST_CASE("secrets are left out on request") {
+TEST_CASE("written document contains no secrets if they are omitted") {
   const auto parsed = parseConfigurationDocument(readExample("radio"));
   const std::string written = writeConfigurationDocument(parsed.value(), SecretHandling::Omit);
   CHECK(written.find("5ca1ab1e") == std::string::npos);
 }
 
-TEST_CASE("an invalid document is refused with the path of each problem") {
+TEST_CASE("invalid document is rejected with the path of each problem") {
   struct Row {
     const char* name;
-    std::function<void(json&)> damage;
+    std::function<void(json&)> corrupt;
     const char* path;
   };
   const Row rows[] = {
       {"no version", [](json& doc) { doc.erase("version"); }, ""},
       {"version 0", [](json& doc) { doc["version"] = 0; }, "/version"},
       {"unknown key", [](json& doc) { doc["extra"] = 1; }, ""},
-      {"text for a number", [](json& doc) { doc["backends"][3]["slots"] = "two"; },
+      {"string for a number", [](json& doc) { doc["backends"][3]["slots"] = "two"; },
        "/backends/3/slots"},
-      {"zone of a service unknown", [](json& doc) { doc["services"][0]["allowed_zones"] = {"x"}; },
+      {"unknown zone in a service", [](json& doc) { doc["services"][0]["allowed_zones"] = {"x"}; },
        "/services/0/allowed_zones"},
-      {"service of a back end unknown", [](json& doc) { doc["backends"][2]["service"] = "x"; },
+      {"unknown service in a backend", [](json& doc) { doc["backends"][2]["service"] = "x"; },
        "/backends/2/service"},
       {"address without port", [](json& doc) { doc["backends"][1]["address"] = "127.0.0.1"; },
        "/backends/1/address"},
       {"port 0", [](json& doc) { doc["backends"][1]["address"] = "127.0.0.1:0"; },
        "/backends/1/address"},
-      {"back end id twice", [](json& doc) { doc["backends"][1]["id"] = 1; }, "/backends/1/id"},
-      {"service address twice",
+      {"duplicate backend id", [](json& doc) { doc["backends"][1]["id"] = 1; }, "/backends/1/id"},
+      {"duplicate service address",
        [](json& doc) { doc["services"][1]["address"] = doc["services"][0]["address"]; },
        "/services/1/address"},
       {"short secret", [](json& doc) { doc["keys"][0]["secret"] = "00"; }, "/keys/0/secret"},
@@ -69,7 +70,7 @@
   for (const Row& row : rows) {
     INFO(row.name);
     json document = radio();
-    row.damage(document);
+    row.corrupt(document);
     const auto parsed = parseConfigurationDocument(document.dump());
     REQUIRE_FALSE(parsed);
     const DocumentProblems& problems = parsed.error();
@@ -79,7 +80,7 @@
   CHECK_FALSE(parseConfigurationDocument("{"));
 }
 
-TEST_CASE("all problems of a document are reported at once") {
+TEST_CASE("all problems of a document are reported together") {
   json document = radio();
   document["backends"][1]["zone"] = "x";
   document["backends"][2]["service"] = "y";
@@ -87,7 +88,7 @@
   CHECK(parseConfigurationDocument(document.dump()).error().size() == 3);
 }
 
-TEST_CASE("the version in force never goes down and an invalid document changes nothing") {
+TEST_CASE("older and invalid documents leave the configuration in force unchanged") {
   ConfigurationStore store;
   json document = radio();
   document["version"] = 5;
@@ -100,7 +101,7 @@
   CHECK(store.version() == ConfigVersion(5));
 }
 
-TEST_CASE("two stores agree on one of two contents of the same version, in either order") {
+TEST_CASE("stores converge on one of two contents of the same version regardless of order") {
   json first = radio();
   json second = radio();
   second["backends"][0]["draining"] = true;
--- a/tests/config/toml_settings_test.cc
+++ b/tests/config/toml_settings_test.cc
@@ -11,7 +11,7 @@
 namespace lugfork {
 namespace {
 
-/** What a program made of one settings file and its flags. */
+/** Values and errors that a program got from one settings file and its flags. */
 struct Outcome {
   int exit_code = kExitSuccess;
   std::string error;
@@ -21,10 +21,10 @@
   std::string level = "info";
 };
 
-/** Each test runs as a process of its own, several at a time. */
+/** The process id makes the name unique, since tests run in parallel processes. */
 const std::string kFile = "toml_settings_test." + std::to_string(::getpid()) + ".toml";
 
-/** Writes the settings file, runs a program with the kinds of flags that lugforkd has. */
+/** Writes the settings file and runs a program with the same kinds of flags as lugforkd. */
 Outcome runWith(const std::string& settings, std::vector<std::string> flags = {},
                 const std::string& file = kFile) {
   std::ofstream(kFile) << settings;
@@ -53,14 +53,14 @@
   return outcome;
 }
 
-TEST_CASE("an empty list is the same as none") {
+TEST_CASE("empty list in a settings file is treated like a missing key") {
   const Outcome outcome = runWith("name = \"a\"\nplatform = []\n");
   CHECK(outcome.error.empty());
   CHECK(outcome.exit_code == kExitSuccess);
   CHECK(outcome.platform.empty());
 }
 
-TEST_CASE("a settings file gives every value, and flags win") {
+TEST_CASE("settings file sets every value and flags take precedence") {
   const std::string settings =
       "name = \"a\"\ninterval = 250\nplatform = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
   const Outcome from_file = runWith(settings);
@@ -73,7 +73,8 @@
   CHECK(with_flag.name == "b");
 }
 
-TEST_CASE("a wrong settings file is refused with the file, the key and what is allowed") {
+TEST_CASE(
+    "invalid settings file is rejected with an error that names file, key and allowed values") {
   struct Row {
     const char* name;
     const char* settings;
@@ -81,23 +82,25 @@
   };
   const Row rows[] = {
       {"unknown key", "name = \"a\"\ngosip = 1\n", {"line 2", "\"gosip\"", "interval", "platform"}},
-      {"settings inside settings", "name = \"a\"\nsettings = \"b\"\n", {"\"settings\""}},
-      {"number as text", "name = \"a\"\ninterval = \"soon\"\n", {"interval", "50", "60000"}},
+      {"settings file inside a settings file",
+       "name = \"a\"\nsettings = \"b\"\n",
+       {"\"settings\""}},
+      {"string for a number", "name = \"a\"\ninterval = \"soon\"\n", {"interval", "50", "60000"}},
       {"boolean for a number", "name = \"a\"\ninterval = true\n", {"interval", "50", "60000"}},
       {"fraction for whole milliseconds", "name = \"a\"\ninterval = 50.5\n", {"interval"}},
       {"table for a number", "name = \"a\"\n[interval]\nx = 1\n", {"interval", "must be"}},
-      {"two numbers for one", "name = \"a\"\ninterval = [100, 200]\n", {"interval"}},
+      {"list for a single number", "name = \"a\"\ninterval = [100, 200]\n", {"interval"}},
       {"below the range", "name = \"a\"\ninterval = 49\n", {"interval", "49", "50", "60000"}},
       {"above the range", "name = \"a\"\ninterval = 60001\n", {"interval", "60001", "60000"}},
       {"not an address",
        "name = \"a\"\nplatform = [\"host:1\"]\n",
        {"platform", "host:1", "a.b.c.d:port"}},
-      {"not in the list",
+      {"value not in the allowed list",
        "name = \"a\"\nlog-level = \"loud\"\n",
        {"log-level", "loud", "info", "warn"}},
       {"required key missing", "interval = 100\n", {"name", "required"}},
-      {"broken TOML", "name = \"a\"\ninterval = = 3\n", {"line 2"}},
-      {"key twice", "name = \"a\"\nname = \"b\"\n", {"line 2", "name"}},
+      {"invalid TOML", "name = \"a\"\ninterval = = 3\n", {"line 2"}},
+      {"duplicate key", "name = \"a\"\nname = \"b\"\n", {"line 2", "name"}},
   };
   for (const Row& row : rows) {
     const Outcome outcome = runWith(row.settings);
@@ -111,7 +114,7 @@
   }
 }
 
-TEST_CASE("a settings file that is missing or given twice is refused by name") {
+TEST_CASE("missing or duplicate settings file is rejected with its name") {
   const Outcome missing = runWith("name = \"a\"\n", {}, "missing.toml");
   INFO(missing.error);
   CHECK(missing.exit_code == kExitUsage);
