--- a/src/balancer/node.cc
+++ b/src/balancer/node.cc
@@ -14,7 +14,7 @@
 /**
  * Size reserved in any gossip message for state changes, also if the budget is exhausted [bytes].
  */
-constexpr std::size_t kStateBytes = 4 * LoadSpread::kObservationBytes;
+constexpr std::size_t kStateBytes = 4 * LoadGossip::kObservationBytes;
 /**
  * Maximum size of membership updates in one message, and the minimum if the budget is exhausted
  * [bytes].
@@ -49,7 +49,7 @@
 
 std::size_t estimatedBytes(const GossipHeader& gossip) {
   return kHeaderBytes + kMemberBytes * gossip.members.size() +
-         LoadSpread::kObservationBytes * gossip.observations.size();
+         LoadGossip::kObservationBytes * gossip.observations.size();
 }
 
 }  // namespace
@@ -96,7 +96,7 @@
 
 void Node::adoptInitialDocument() {
   const bool peers_may_have_newer =
-      store_.inForce() == nullptr && !join_.mayTakeFromPlatform(initial_document_version_);
+      store_.inForce() == nullptr && !join_.mayAdoptFromPlatform(initial_document_version_);
   if (initial_document_.empty() || peers_may_have_newer) {
     return;
   }
@@ -134,7 +134,7 @@
     membership_.onPause();
     next_confirmation_at_ = MonotonicTime();
     platform_requested_at_ = MonotonicTime();
-    configuration_.readPlatformSoon();
+    configuration_.readPlatformAtNextTick();
   }
   membership_.onTick();
   configuration_.onTick(membership_.liveCount() + 1);
@@ -183,12 +183,12 @@
   const MonotonicTime now = time_source_.monotonicTime();
   if (now >= next_token_prompted_read_at_) {
     next_token_prompted_read_at_ = now + kTokenPromptedReadInterval;
-    configuration_.readPlatformSoon();
+    configuration_.readPlatformAtNextTick();
   }
 }
 
 void Node::onBackendDraining(BackendId backend) {
-  if (load_spread_.onOwnWord(backend)) {
+  if (load_spread_.onDrainAnnounced(backend)) {
     log_.write(LogLevel::Info, "node", "backend_draining", {{"backend", backend.value()}});
   }
 }
@@ -332,7 +332,7 @@
   gossip.observations = load_spread_.take(ObservationScope::StateChanges, kStateBytes, audience());
   const std::size_t member_update_budget = std::min(kMaxMemberUpdateBytes, remainingBudget(gossip));
   gossip.members =
-      membership_.takeRumours(about, std::max(kMinMemberUpdateBytes, member_update_budget));
+      membership_.takeUpdates(about, std::max(kMinMemberUpdateBytes, member_update_budget));
   if (scope == ObservationScope::All) {
     const std::size_t load_budget = std::min(kMaxLoadBytes, remainingBudget(gossip));
     for (const BackendObservation& observation :
@@ -350,9 +350,9 @@
   return available > used ? available - used : 0;
 }
 
-ObservationAudience Node::audience() const {
+ReceiverCounts Node::audience() const {
   const std::size_t fleet = membership_.liveCount();
-  return {fleet, isSmallFleet() ? fleet : membership_.liveInZone()};
+  return {fleet, isSmallFleet() ? fleet : membership_.liveInLocalZone()};
 }
 
 bool Node::isSmallFleet() const {
@@ -364,7 +364,7 @@
     return;
   }
   next_confirmation_at_ = now + kConfirmationInterval;
-  membership_.pingSome(kConfirmationPeerCount);
+  membership_.pingRandomMembers(kConfirmationPeerCount);
 }
 
 void Node::pushUpdates() {
@@ -390,7 +390,7 @@
   if (peers.empty() || load_spread_.size() == 0) {
     return;
   }
-  if (budget_.available() < kHeaderBytes + LoadSpread::kObservationBytes) {
+  if (budget_.available() < kHeaderBytes + LoadGossip::kObservationBytes) {
     return;
   }
   GossipHeader gossip = makeGossip(&peers.front(), ObservationScope::All);
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -11,46 +11,46 @@
 
 namespace lugfork {
 
-/** Tunables of the failure detector and of the spread of rumours. */
+/** Settings of the failure detector and of the dissemination of membership updates. */
 struct MembershipSettings {
-  /** One member is probed in each interval. */
+  /** One member is probed per interval. */
   Duration probe_interval = seconds(1);
-  /** Time after which an unanswered direct probe is repeated through other members. */
+  /** Timeout of a direct probe; after it the target is probed through other members. */
   Duration probe_timeout = milliseconds(300);
-  /** Members through which an indirect probe goes. */
+  /** Number of members that are asked to probe the target indirectly. */
   std::size_t indirect_probes = 3;
-  /** A suspect is declared dead after this factor times log10(members) probe intervals. */
+  /** A suspect is marked dead after this factor times log10(members) probe intervals. */
   double suspicion_factor = 4;
-  /** A rumour is sent this factor times log2(members) times. */
+  /** An update is sent this factor times log2(members) times. */
   double retransmit_factor = 3;
-  /** Rumours waiting at a time; beyond it the most sent one is dropped. */
-  std::size_t max_rumours = 256;
-  /** A member believed dead, or a seed that is no member yet, is tried in each interval. */
+  /** Maximum number of pending updates; beyond it the one sent most often is evicted. */
+  std::size_t max_updates = 256;
+  /** One dead member, or one seed that isn't a member yet, is pinged per interval. */
   Duration reconnect_interval = seconds(5);
-  /** Interval of the same while no member is known. */
+  /** Replaces reconnect_interval while there are no live members. */
   Duration join_interval = milliseconds(200);
-  /** Seeds tried at a time while no member is known. */
+  /** Number of seeds pinged at a time while there are no live members. */
   std::size_t join_fanout = 3;
-  /** A dead member is forgotten after this time. */
-  Duration dead_retention = std::chrono::hours(6);
-  /** Members on one page of the member list. */
+  /** A dead member is pruned after this time. */
+  Duration dead_member_ttl = std::chrono::hours(6);
+  /** Number of members on one page of the member list. */
   std::size_t page_size = 500;
 };
 
-/** A balancer that the platform lists. */
+/** A balancer in the platform's machine list. */
 struct MemberSeed {
   std::string name;
   std::string zone;
   Endpoint peer_address;
 };
 
-/** Sends the messages that membership asks for, and hears of changes. */
+/** Sends the messages of the membership protocol and receives its change notifications. */
 class MembershipHost {
  public:
   virtual ~MembershipHost() = default;
 
-  /** @param about member that the ping goes to; nullptr where it is no member yet. */
-  virtual void sendPing(Endpoint peer, std::uint64_t sequence, const MemberRecord* about) = 0;
+  /** @param target member that the ping is sent to; nullptr if it isn't a member yet. */
+  virtual void sendPing(Endpoint peer, std::uint64_t sequence, const MemberRecord* target) = 0;
   virtual void sendPingAck(Endpoint peer, std::uint64_t sequence) = 0;
   virtual void sendPingRequest(Endpoint via, std::uint64_t sequence, Endpoint target) = 0;
   virtual void sendMembersRequest(Endpoint peer, std::uint32_t from_index) = 0;
@@ -58,65 +58,69 @@
 };
 
 /**
- * SWIM-style membership: one probe an interval to a member in shuffled round-robin order, indirect
- * probes, suspicion and refutation by incarnation, rumours carried by other messages. Messages of
- * a node and second do not depend on the number of members; memory does.
+ * SWIM-style membership: one probe per interval in shuffled round-robin order, indirect probes,
+ * suspicion, refutation by incarnation, and updates piggybacked on other messages. The number of
+ * messages that a node sends per second does not depend on the number of members; memory does.
  */
 class Membership {
  public:
   Membership(MembershipSettings settings, MemberRecord self, const TimeSource& time_source,
              RandomGenerator& random, MembershipHost& host, EventLog& log);
 
-  /** Takes the platform's list: it says whom to ask, never who is alive or dead. */
+  /** Sets the peers to contact. The platform's list never marks a member as alive or dead. */
   void setSeeds(std::vector<MemberSeed> seeds);
 
   void onTick();
 
-  /** Takes the sender's own record and the rumours of a message. */
+  /** Applies the sender's own record and the updates in a message. */
   void onGossip(const GossipHeader& gossip);
   void onPing(Endpoint from, std::uint64_t sequence);
   void onPingRequest(Endpoint from, std::uint64_t sequence, Endpoint target);
 
-  /** @return when the acknowledged ping was sent; nothing for an unknown or late one. */
+  /** @return when the acknowledged ping was sent; nullopt if it is unknown or has expired. */
   std::optional<MonotonicTime> onPingAck(Endpoint from, std::uint64_t sequence);
   void onMembersReply(Endpoint from, const MembersReply& reply);
   MembersReply membersPage(std::uint32_t from_index) const;
 
-  /** This process did not run for a while: probes from before say nothing about others. */
+  /**
+   * Handles a pause of this process: discards the probe in flight and restarts suspicion timeouts,
+   * since missing answers don't indicate failures of other members.
+   */
   void onPause();
 
-  /** Pings some live members at once, to have the view confirmed. */
-  void pingSome(std::size_t count);
+  /** Pings random live members immediately so that their answers confirm the view. */
+  void pingRandomMembers(std::size_t count);
 
   /** Announces that this node is leaving. */
   void startLeaving();
 
   /**
-   * Takes rumours for one message, the least sent first.
-   * @param about the receiver if it is a member: it hears first what is said of itself.
-   * @param bytes room in the message.
+   * Selects updates for one message, those with the fewest transmissions first.
+   * @param receiver the receiver if it is a member; its own record is sent first unless it is
+   * alive, so that it can refute it.
+   * @param bytes space for updates in the message [bytes].
    */
-  std::vector<MemberRecord> takeRumours(const MemberRecord* about, std::size_t bytes);
+  std::vector<MemberRecord> takeUpdates(const MemberRecord* receiver, std::size_t bytes);
 
   const MemberRecord& self() const { return self_; }
 
-  /** @return all known members without this node, the dead included. */
+  /** @return all known members except this node, including dead ones. */
   const std::vector<MemberRecord>& members() const { return members_; }
   const MemberRecord* member(const std::string& name) const;
 
-  /** @return up to count distinct live members, drawn at random; of one zone unless empty. */
+  /** @return up to count distinct random live members, restricted to a zone unless it is empty. */
   std::vector<MemberRecord> randomLive(std::size_t count, const std::string& zone = "");
 
-  /** @return live members (alive or suspected) without this node. */
+  /** @return number of live members (alive or suspect), excluding this node. */
   std::size_t liveCount() const { return live_count_; }
 
-  /** @return live members of this node's zone, without this node. */
-  std::size_t liveInZone() const { return live_in_zone_; }
+  /** @return number of live members of the local zone, excluding this node. */
+  std::size_t liveInLocalZone() const { return live_in_local_zone_; }
 
-  /** @return listed balancers besides this one. */
+  /** @return number of listed balancers, excluding this one. */
   std::size_t seedCount() const { return seeds_.size(); }
 
-  /** Changes with every change of the set of live members. */
+  /** @return a counter that changes whenever the set of live members or their zones changes. */
   std::uint64_t liveGeneration() const { return live_generation_; }
 
  private:
@@ -129,35 +133,38 @@
   };
   struct SentPing {
     MonotonicTime sent_at;
-    /** Where the acknowledgement is passed on to; unset for this node's own probes. */
+    /** Peer that the acknowledgement is relayed to; unset for this node's own probes. */
     Endpoint requester;
     std::uint64_t requester_sequence = 0;
   };
-  struct Rumour {
-    NodeId about;
+  struct Update {
+    NodeId member_id;
     std::uint32_t transmissions = 0;
   };
 
-  /** Whether a record is passed on as a rumour: those of a member list are known already. */
-  enum class PassOn { Yes, No };
+  /**
+   * Whether a record is disseminated as an update. Records from a member list are not, since other
+   * members know them already.
+   */
+  enum class Disseminate { Yes, No };
 
-  void onRecord(const MemberRecord& record, PassOn pass_on);
+  void onRecord(const MemberRecord& record, Disseminate disseminate);
   void refute(const MemberRecord& record);
-  void insert(const MemberRecord& record, PassOn pass_on);
-  void change(MemberRecord& member, const MemberRecord& record, PassOn pass_on);
-  void setState(MemberRecord& member, MemberState state, PassOn pass_on);
+  void addMember(const MemberRecord& record, Disseminate disseminate);
+  void updateMember(MemberRecord& member, const MemberRecord& record, Disseminate disseminate);
+  void setState(MemberRecord& member, MemberState state, Disseminate disseminate);
   void countLive(const MemberRecord& member, bool added);
-  void addRumour(NodeId about);
+  void addUpdate(NodeId member_id);
   void probeNext();
   void finishProbe();
   void probeIndirectly();
   void expireSuspects();
   void reconnect();
   std::vector<const MemberSeed*> unreachedSeeds() const;
-  void forgetDead();
-  void forget(NodeId id);
-  std::uint64_t ping(Endpoint peer, const MemberRecord* about, SentPing sent);
-  void forgetOldPings();
+  void pruneDead();
+  void removeMember(NodeId id);
+  std::uint64_t ping(Endpoint peer, const MemberRecord* target, SentPing sent);
+  void expirePings();
   std::size_t indexOf(NodeId id) const;
   Duration suspicionTimeout() const;
   std::uint32_t retransmitLimit() const;
@@ -177,22 +184,22 @@
   std::size_t next_in_order_ = 0;
   std::optional<Probe> probe_;
   std::unordered_map<std::uint64_t, SentPing> sent_pings_;
-  std::vector<Rumour> rumours_;
+  std::vector<Update> updates_;
   std::uint64_t next_sequence_;
   MonotonicTime next_probe_at_;
   MonotonicTime next_reconnect_at_;
   std::size_t live_count_ = 0;
-  std::size_t live_in_zone_ = 0;
+  std::size_t live_in_local_zone_ = 0;
   std::uint64_t live_generation_ = 0;
   bool members_requested_ = false;
 };
 
-/** @return true for a member that takes part in the work of the fleet. */
+/** @return true for a member that is alive or suspect. */
 inline bool isLive(const MemberRecord& member) {
   return member.state == MemberState::Alive || member.state == MemberState::Suspect;
 }
 
-/** Stable name of a state, for logs and status. */
+/** @return the name of a state in logs and status output. */
 const char* toString(MemberState state);
 
 }  // namespace lugfork
--- a/src/cluster/probe_assignment.cc
+++ b/src/cluster/probe_assignment.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Weight of a balancer for a back end: a finalizer of a 64-bit mix over both ids. */
+/** Rendezvous weight of a balancer for a backend: 64-bit mix finalizer over both ids. */
 std::uint64_t rendezvousWeight(NodeId node, BackendId backend) {
   std::uint64_t value = node.value() ^ (backend.value() * 0x9e3779b97f4a7c15ULL);
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -15,13 +15,13 @@
   return value ^ (value >> 31);
 }
 
-/** @return true if fewer than the wanted number of others rank above this node. */
-bool ranksAmongFirst(NodeId self, BackendId backend, const std::vector<NodeId>& others,
-                     std::size_t wanted) {
-  const std::uint64_t own = rendezvousWeight(self, backend);
+/** @return true if fewer than the wanted number of other nodes rank above this node. */
+bool ranksAmongTop(NodeId self, BackendId backend, const std::vector<NodeId>& others,
+                   std::size_t wanted) {
+  const std::uint64_t self_weight = rendezvousWeight(self, backend);
   std::size_t above = 0;
   for (const NodeId other : others) {
-    above += rendezvousWeight(other, backend) > own ? 1 : 0;
+    above += rendezvousWeight(other, backend) > self_weight ? 1 : 0;
     if (above >= wanted) {
       return false;
     }
@@ -43,21 +43,21 @@
       by_zone[zone->id].push_back(id);
     }
   }
-  const Zone* own_zone = configuration.zoneNamed(self.zone);
+  const Zone* local_zone = configuration.zoneNamed(self.zone);
   const NodeId self_id = nodeIdFromName(self.name);
   std::vector<BackendId> assigned;
   for (const Backend& backend : configuration.document().backends) {
-    const bool in_own_zone = own_zone != nullptr && backend.zone == own_zone->id;
+    const bool in_local_zone = local_zone != nullptr && backend.zone == local_zone->id;
     const auto zone_members = by_zone.find(backend.zone);
-    const bool zone_has_members = in_own_zone || zone_members != by_zone.end();
-    if (zone_has_members && !in_own_zone) {
+    const bool zone_has_members = in_local_zone || zone_members != by_zone.end();
+    if (zone_has_members && !in_local_zone) {
       continue;
     }
-    static const std::vector<NodeId> kNobody;
+    static const std::vector<NodeId> kNoNodes;
     const std::vector<NodeId>& in_zone =
-        zone_members == by_zone.end() ? kNobody : zone_members->second;
-    const std::vector<NodeId>& others = in_own_zone ? in_zone : all;
-    if (ranksAmongFirst(self_id, backend.id, others, probers_per_backend)) {
+        zone_members == by_zone.end() ? kNoNodes : zone_members->second;
+    const std::vector<NodeId>& others = in_local_zone ? in_zone : all;
+    if (ranksAmongTop(self_id, backend.id, others, probers_per_backend)) {
       assigned.push_back(backend.id);
     }
   }
@@ -74,7 +74,7 @@
     return due;
   }
   const Duration step = interval() / static_cast<std::int64_t>(backends_.size());
-  // After a pause the schedule starts anew instead of catching up.
+  // After a pause the schedule restarts instead of catching up on missed probes.
   next_at_ = std::max(next_at_, now - std::min<Duration>(interval(), seconds(1)));
   while (next_at_ <= now && due.size() < backends_.size()) {
     next_at_ += step;
@@ -85,9 +85,10 @@
 }
 
 Duration ProbeSchedule::interval() const {
-  const auto at_limit = seconds(1) * static_cast<std::int64_t>(backends_.size()) /
-                        static_cast<std::int64_t>(settings_.max_probes_per_second);
-  return std::max(settings_.interval, std::chrono::duration_cast<Duration>(at_limit));
+  const auto interval_at_max_rate = seconds(1) * static_cast<std::int64_t>(backends_.size()) /
+                                    static_cast<std::int64_t>(settings_.max_probes_per_second);
+  return std::max(settings_.min_interval,
+                  std::chrono::duration_cast<Duration>(interval_at_max_rate));
 }
 
 }  // namespace lugfork
--- a/src/config/configuration_delta.cc
+++ b/src/config/configuration_delta.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kKeyBytes = 8;
 
 template <typename Resource>
-std::optional<ResourceRecord> encodeOrNothing(ResourceKey key, const Resource* resource) {
+std::optional<ResourceRecord> encodeIfPresent(ResourceKey key, const Resource* resource) {
   if (resource == nullptr) {
     return std::nullopt;
   }
@@ -42,7 +42,7 @@
   }
 }
 
-/** Puts the encoded resource into the sorted list, in place of the one with its id. */
+/** Inserts the encoded resource into the sorted list or replaces the one with the same id. */
 template <typename Resource>
 bool putResource(std::vector<Resource>& resources, const ResourceRecord& record) {
   Resource resource;
@@ -96,7 +96,7 @@
   }
 }
 
-/** Gathers the values of one field and reports those that occur twice. */
+/** Collects the values of one field and reports duplicates. */
 template <typename Value>
 class UniqueField {
  public:
@@ -201,13 +201,13 @@
       return ResourceRecord{key, Bytes(system.begin(), system.end())};
     }
     case ResourceKind::Zone:
-      return encodeOrNothing(key, view.zone(ZoneId(short_id)));
+      return encodeIfPresent(key, view.zone(ZoneId(short_id)));
     case ResourceKind::Service:
-      return encodeOrNothing(key, view.service(ServiceId(key.id)));
+      return encodeIfPresent(key, view.service(ServiceId(key.id)));
     case ResourceKind::Backend:
-      return encodeOrNothing(key, view.backend(BackendId(key.id)));
+      return encodeIfPresent(key, view.backend(BackendId(key.id)));
     case ResourceKind::TokenKey:
-      return encodeOrNothing(key, view.key(KeyId(short_id)));
+      return encodeIfPresent(key, view.key(KeyId(short_id)));
   }
   return std::nullopt;
 }
@@ -263,7 +263,7 @@
 }
 
 ConfigurationDelta mergeDeltas(const ConfigurationDelta& first, const ConfigurationDelta& second) {
-  // Each resource ends in the state that the later delta that names it gives.
+  // For each resource the later delta that contains it takes precedence.
   std::map<ResourceKey, std::optional<ResourceRecord>> last;
   for (const ConfigurationDelta* delta : {&first, &second}) {
     for (const ResourceRecord& record : delta->changed) {
@@ -297,23 +297,23 @@
                                                    const ConfigurationDelta& delta) {
   Configuration result = base == nullptr ? Configuration() : base->document();
   std::uint64_t digest = base_digest;
-  const auto forget_old = [&](ResourceKey key) {
+  const auto subtract_old_digest = [&](ResourceKey key) {
     const auto old = base == nullptr ? std::nullopt : encodeResource(*base, key);
     digest -= old ? resourceDigest(*old) : 0;
   };
   for (const ResourceKey key : delta.removed) {
-    forget_old(key);
+    subtract_old_digest(key);
     removeRecord(result, key);
   }
   for (const ResourceRecord& record : delta.changed) {
-    forget_old(record.key);
+    subtract_old_digest(record.key);
     digest += resourceDigest(record);
     if (!putRecord(result, record)) {
-      return DocumentProblems{{"", "a resource of the delta can't be decoded"}};
+      return DocumentProblems{{"", "cannot decode a resource of the delta"}};
     }
   }
   if (digest != delta.to.digest) {
-    return DocumentProblems{{"", "the result of the delta has another digest than announced"}};
+    return DocumentProblems{{"", "digest of the result differs from the digest in the delta"}};
   }
   result.version = delta.to.version;
   DocumentProblems problems = checkConfiguration(result);
