--- a/src/explain/clock_skew.cc
+++ b/src/explain/clock_skew.cc
@@ -53,12 +53,12 @@
   }
 }
 
-std::int64_t ClockSkew::of(const std::string& node) const {
+std::int64_t ClockSkew::ofNode(const std::string& node) const {
   const auto found = skew_ms_.find(node);
   return found == skew_ms_.end() ? 0 : found->second;
 }
 
-std::vector<std::string> ClockSkew::skewedNodes() const {
+std::vector<std::string> ClockSkew::nodesWithSkew() const {
   std::vector<std::string> nodes;
   for (const auto& [node, skew_ms] : skew_ms_) {
     if (skew_ms != 0) {
--- a/src/explain/clock_skew.h
+++ b/src/explain/clock_skew.h
@@ -18,10 +18,10 @@
   explicit ClockSkew(const std::vector<LogLine>& lines);
 
   /** @return how far a node's clock is ahead of most others, 0 where that is not known [ms]. */
-  std::int64_t of(const std::string& node) const;
+  std::int64_t ofNode(const std::string& node) const;
 
   /** @return nodes whose clock is off by more than what the spread of news explains. */
-  std::vector<std::string> skewedNodes() const;
+  std::vector<std::string> nodesWithSkew() const;
 
  private:
   std::map<std::string, std::int64_t> skew_ms_;
--- a/src/explain/log_line.cc
+++ b/src/explain/log_line.cc
@@ -73,7 +73,7 @@
   return line;
 }
 
-std::string clockTime(std::int64_t time_ms) {
+std::string formatTimeOfDay(std::int64_t time_ms) {
   const auto whole_seconds = static_cast<std::time_t>(time_ms / kMillisecondsInSecond);
   std::tm parts{};
   gmtime_r(&whole_seconds, &parts);
--- a/src/explain/log_line.h
+++ b/src/explain/log_line.h
@@ -32,6 +32,6 @@
 std::optional<LogLine> parseLogLine(const std::string& text);
 
 /** @return the time as RFC 3339 writes it, without the date. */
-std::string clockTime(std::int64_t time_ms);
+std::string formatTimeOfDay(std::int64_t time_ms);
 
 }  // namespace lugfork
--- a/src/explain/story.cc
+++ b/src/explain/timeline.cc
@@ -1,4 +1,4 @@
-#include "explain/story.h"
+#include "explain/timeline.h"
 
 #include <algorithm>
 #include <limits>
@@ -65,20 +65,20 @@
 /** Chooses lines; corrected times stand beside them. */
 class Picker {
  public:
-  Picker(const std::vector<LogLine>& lines, const StoryQuestion& question, const ClockSkew& skew)
+  Picker(const std::vector<LogLine>& lines, const TimelineQuery& question, const ClockSkew& skew)
       : lines_(lines), question_(question), skew_(skew) {
     findSubject();
   }
 
-  std::vector<StoryLine> pick() const {
-    std::vector<StoryLine> picked;
+  std::vector<TimelineEntry> pick() const {
+    std::vector<TimelineEntry> picked;
     for (const LogLine& line : lines_) {
       const std::int64_t time_ms = timeOf(line);
       if (belongs(line, time_ms)) {
         picked.push_back({line, time_ms, {}, time_ms});
       }
     }
-    const auto is_earlier = [](const StoryLine& left, const StoryLine& right) {
+    const auto is_earlier = [](const TimelineEntry& left, const TimelineEntry& right) {
       return left.time_ms < right.time_ms;
     };
     std::stable_sort(picked.begin(), picked.end(), is_earlier);
@@ -86,7 +86,7 @@
   }
 
  private:
-  std::int64_t timeOf(const LogLine& line) const { return line.time_ms - skew_.of(line.node); }
+  std::int64_t timeOf(const LogLine& line) const { return line.time_ms - skew_.ofNode(line.node); }
 
   void findSubject() {
     if (!question_.backend.empty()) {
@@ -127,7 +127,7 @@
   }
 
   const std::vector<LogLine>& lines_;
-  const StoryQuestion& question_;
+  const TimelineQuery& question_;
   const ClockSkew& skew_;
   BackendNames backends_;
   std::set<std::string> nodes_;
@@ -136,10 +136,10 @@
 };
 
 /** Lines of several nodes that tell the same change of the platform count once. */
-std::vector<StoryLine> mergeSameNews(const std::vector<StoryLine>& lines) {
-  std::vector<StoryLine> merged;
+std::vector<TimelineEntry> mergeSameNews(const std::vector<TimelineEntry>& lines) {
+  std::vector<TimelineEntry> merged;
   std::map<std::tuple<std::string, std::string, std::uint64_t>, std::size_t> known;
-  for (const StoryLine& line : lines) {
+  for (const TimelineEntry& line : lines) {
     const auto revision = line.line.number("revision");
     const bool is_news = line.line.event == "backend_state" && revision;
     if (!is_news) {
@@ -152,7 +152,7 @@
       merged.push_back(line);
       continue;
     }
-    StoryLine& first = merged[entry->second];
+    TimelineEntry& first = merged[entry->second];
     first.other_nodes.insert(line.line.node);
     first.last_time_ms = line.time_ms;
   }
@@ -161,12 +161,12 @@
 
 }  // namespace
 
-Story tellStory(const std::vector<LogLine>& lines, const StoryQuestion& question) {
+Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& question) {
   const ClockSkew skew(lines);
-  Story story;
+  Timeline story;
   story.lines = mergeSameNews(Picker(lines, question, skew).pick());
-  for (const std::string& node : skew.skewedNodes()) {
-    story.skewed_clocks[node] = skew.of(node);
+  for (const std::string& node : skew.nodesWithSkew()) {
+    story.skewed_clocks[node] = skew.ofNode(node);
   }
   return story;
 }
--- a/src/explain/story.h
+++ b/src/explain/timeline.h
@@ -7,7 +7,7 @@
 namespace lugfork {
 
 /** What to explain: a flow by its caller, or a back end. */
-struct StoryQuestion {
+struct TimelineQuery {
   /** "a.b.c.d:port" of the caller, or "caller>service"; empty for no flow. */
   std::string flow;
   /** Name or id of a back end; empty for none. */
@@ -17,7 +17,7 @@
 };
 
 /** One line of a story; several nodes that told the same count once. */
-struct StoryLine {
+struct TimelineEntry {
   LogLine line;
   /** The line's time, corrected for the node's clock [ms]. */
   std::int64_t time_ms = 0;
@@ -26,9 +26,9 @@
   std::int64_t last_time_ms = 0;
 };
 
-struct Story {
+struct Timeline {
   /** In the order of time. */
-  std::vector<StoryLine> lines;
+  std::vector<TimelineEntry> lines;
   /** Nodes whose clocks are off, with by how much [ms]. */
   std::map<std::string, std::int64_t> skewed_clocks;
 };
@@ -38,6 +38,6 @@
  * over all nodes.
  * @param lines of all nodes, those of one node in the order in which it wrote them.
  */
-Story tellStory(const std::vector<LogLine>& lines, const StoryQuestion& question);
+Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& question);
 
 }  // namespace lugfork
--- a/src/programs/ctl_explain.cc
+++ b/src/programs/ctl_explain.cc
@@ -1,7 +1,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "explain/story.h"
+#include "explain/timeline.h"
 #include "programs/ctl_commands.h"
 #include "programs/ctl_table.h"
 #include "runtime/program.h"
@@ -11,7 +11,7 @@
 namespace {
 
 struct ExplainSettings {
-  StoryQuestion question;
+  TimelineQuery question;
   std::vector<std::string> files;
 };
 
@@ -40,7 +40,7 @@
   return lines;
 }
 
-std::string detailsOf(const StoryLine& line) {
+std::string detailsOf(const TimelineEntry& line) {
   std::string details;
   for (const auto& [name, value] : line.line.fields.items()) {
     const std::string text = line.line.text(name.c_str());
@@ -53,21 +53,22 @@
   return details;
 }
 
-void printStory(const Story& story) {
+void printStory(const Timeline& story) {
   for (const auto& [node, skew_ms] : story.skewed_clocks) {
     std::cout << "clock of " << node << " is off by " << skew_ms
               << " ms; its times are corrected\n";
   }
   std::vector<std::vector<std::string>> rows = {{"TIME", "NODE", "EVENT", "DETAILS"}};
-  for (const StoryLine& line : story.lines) {
-    rows.push_back({clockTime(line.time_ms), line.line.node, line.line.event, detailsOf(line)});
+  for (const TimelineEntry& line : story.lines) {
+    rows.push_back(
+        {formatTimeOfDay(line.time_ms), line.line.node, line.line.event, detailsOf(line)});
   }
   std::cout << formatTable(rows);
 }
 
 int explain(const ExplainSettings& settings) {
   const std::vector<LogLine> lines = readLogs(settings.files);
-  const Story story = tellStory(lines, settings.question);
+  const Timeline story = buildTimeline(lines, settings.question);
   if (story.lines.empty()) {
     std::cerr << "none of " << lines.size() << " log lines tells of it\n";
     return kExitFailure;
--- a/tests/explain/story_test.cc
+++ b/tests/explain/timeline_test.cc
@@ -1,4 +1,4 @@
-#include "explain/story.h"
+#include "explain/timeline.h"
 
 #include <catch2/catch.hpp>
 
@@ -25,9 +25,9 @@
   return lines;
 }
 
-std::vector<std::string> eventsOf(const Story& story) {
+std::vector<std::string> eventsOf(const Timeline& story) {
   std::vector<std::string> events;
-  for (const StoryLine& line : story.lines) {
+  for (const TimelineEntry& line : story.lines) {
     events.push_back(line.line.node + " " + line.line.event);
   }
   return events;
@@ -52,7 +52,7 @@
   const auto lines = parse({lineText("01.000", "n1", "backend_snapshot", listed),
                             lineText("02.000", "n2", "backend_states", listed),
                             lineText("03.000", "n2", "backend_states", others)});
-  CHECK(eventsOf(tellStory(lines, {"", "i-1", 0})) ==
+  CHECK(eventsOf(buildTimeline(lines, {"", "i-1", 0})) ==
         std::vector<std::string>{"n1 backend_snapshot", "n2 backend_states"});
 }
 
@@ -63,7 +63,7 @@
   CHECK(line->event == "flow_placed");
   CHECK(line->number("backend_id") == 9U);
   CHECK(line->text("flow") == kFlow);
-  CHECK(clockTime(line->time_ms) == "03:04:05.678");
+  CHECK(formatTimeOfDay(line->time_ms) == "03:04:05.678");
   CHECK_FALSE(line->fields.contains("zone"));
 }
 
@@ -91,16 +91,16 @@
   });
   const std::vector<std::string> expected = {"n1 backend_state", "n1 flow_placed",
                                              "n2 backend_suspected", "n1 leaving", "n2 flow_reset"};
-  CHECK(eventsOf(tellStory(lines, {"100.64.0.7:1050", "", 10000})) == expected);
-  CHECK(eventsOf(tellStory(lines, {kFlow, "", 10000})) == expected);
-  CHECK(tellStory(lines, {"100.64.0.7:105", "", 10000}).lines.empty());
+  CHECK(eventsOf(buildTimeline(lines, {"100.64.0.7:1050", "", 10000})) == expected);
+  CHECK(eventsOf(buildTimeline(lines, {kFlow, "", 10000})) == expected);
+  CHECK(buildTimeline(lines, {"100.64.0.7:105", "", 10000}).lines.empty());
 }
 
 TEST_CASE("the same news of many nodes counts once", "[explain]") {
   const auto lines = parse({backendState("01.000", "n1", "draining", 5),
                             backendState("01.200", "n2", "draining", 5),
                             backendState("01.400", "n3", "draining", 5)});
-  const Story story = tellStory(lines, {"", "i-1", 0});
+  const Timeline story = buildTimeline(lines, {"", "i-1", 0});
   REQUIRE(story.lines.size() == 1);
   CHECK(story.lines[0].other_nodes == std::set<std::string>{"n2", "n3"});
   CHECK(story.lines[0].last_time_ms - story.lines[0].time_ms == 400);
@@ -111,15 +111,15 @@
       {placed("02.000", "n1"),
        lineText("02.400", "n1", "log_lines_left_out", R"(,"of_event":"flow_reset","lines":17)"),
        lineText("02.500", "n2", "log_lines_left_out", R"(,"of_event":"flow_reset","lines":3)")});
-  CHECK(eventsOf(tellStory(lines, {kFlow, "", 10000})) ==
+  CHECK(eventsOf(buildTimeline(lines, {kFlow, "", 10000})) ==
         std::vector<std::string>{"n1 flow_placed", "n1 log_lines_left_out"});
 }
 
 TEST_CASE("a back end is found by its id as well", "[explain]") {
   const auto lines = parse({backendState("01.000", "n1", "ready", 5),
                             lineText("02.300", "n2", "backend_suspected", R"(,"backend_id":9)")});
-  CHECK(tellStory(lines, {"", "9", 0}).lines.size() == 2);
-  CHECK(tellStory(lines, {"", "i-1", 0}).lines.size() == 2);
+  CHECK(buildTimeline(lines, {"", "9", 0}).lines.size() == 2);
+  CHECK(buildTimeline(lines, {"", "i-1", 0}).lines.size() == 2);
 }
 
 TEST_CASE("the evidence behind a reset and a server that was passed over is told", "[explain]") {
@@ -134,7 +134,7 @@
       lineText("02.600", "n1", "flow_reset",
                R"(,"flow":")" + kFlow + R"(","reason":"backend_gone","backend_id":9)"),
   });
-  const Story story = tellStory(lines, {kFlow, "", 10000});
+  const Timeline story = buildTimeline(lines, {kFlow, "", 10000});
   CHECK(eventsOf(story) == std::vector<std::string>{"n1 flow_placed",
                                                     "n1 backend_suspected_by_others",
                                                     "n1 zones_out_of_reach",
@@ -153,11 +153,11 @@
   }
   texts.push_back(lineText("25.000", "n3", "flow_reset", R"(,"flow":")" + kFlow + "\""));
   texts.push_back(placed("04.000", "n1"));
-  const Story story = tellStory(parse(texts), {kFlow, "", 1000});
+  const Timeline story = buildTimeline(parse(texts), {kFlow, "", 1000});
   CHECK(story.skewed_clocks == std::map<std::string, std::int64_t>{{"n3", 19900}});
   REQUIRE(story.lines.size() >= 2);
   CHECK(story.lines.back().line.event == "flow_reset");
-  CHECK(clockTime(story.lines.back().time_ms) == "03:04:05.100");
+  CHECK(formatTimeOfDay(story.lines.back().time_ms) == "03:04:05.100");
 }
 
 }  // namespace
