--- a/src/client/caller_flow.cc
+++ b/src/client/caller_flow.cc
@@ -41,7 +41,7 @@
 
 void CallerFlow::confirmAgain(const Datagram& datagram) {
   const Answer* answer = std::get_if<Answer>(&datagram);
-  if (answer != nullptr && answer->key == key_ && result_ == CallResult::Whole) {
+  if (answer != nullptr && answer->key == key_ && result_ == CallResult::Complete) {
     sendAnswerAck();
   }
 }
@@ -71,7 +71,7 @@
     return;
   }
   if (now >= next_resend_at_) {
-    resend_interval_ = std::min(2 * resend_interval_, settings_.resend_interval_max);
+    resend_interval_ = std::min(2 * resend_interval_, settings_.max_retransmit_interval);
     next_resend_at_ = now + resend_interval_;
     if (state_ == State::Opening) {
       sendOpen();
@@ -84,7 +84,7 @@
   if (state_ == State::Active && established_ && now >= next_keepalive_at_) {
     sendAnswerAck();
   }
-  const bool silent = now - last_heard_at_ >= settings_.probe_after;
+  const bool silent = now - last_heard_at_ >= settings_.probe_delay;
   if (state_ == State::Active && silent && now >= next_probe_at_) {
     next_probe_at_ = now + settings_.probe_interval;
     sendProbe();
@@ -127,7 +127,7 @@
   }
   next_unconfirmed_ = ack.next_expected;
   next_to_send_ = std::max(next_to_send_, next_unconfirmed_);
-  resend_interval_ = settings_.resend_interval;
+  resend_interval_ = settings_.retransmit_interval;
   next_resend_at_ = last_heard_at_ + resend_interval_;
   sendWindow();
 }
@@ -149,7 +149,7 @@
   deliverInOrder();
   if (last_answer_piece_ && next_answer_piece_ > *last_answer_piece_) {
     sendAnswerAck();
-    end(CallResult::Whole);
+    end(CallResult::Complete);
   } else if (next_answer_piece_ % settings_.window == 0) {
     sendAnswerAck();
   }
@@ -191,7 +191,7 @@
   state_ = State::Opening;
   pieces_ = request_.make_pieces(next_answer_piece_);
   attempt_started_at_ = time_source_.monotonicTime();
-  resend_interval_ = settings_.resend_interval;
+  resend_interval_ = settings_.retransmit_interval;
   next_resend_at_ = attempt_started_at_ + resend_interval_;
   sendOpen();
 }
@@ -206,7 +206,7 @@
   last_answer_piece_.reset();
   last_heard_at_ = now;
   established_ = false;
-  resend_interval_ = settings_.resend_interval;
+  resend_interval_ = settings_.retransmit_interval;
   next_resend_at_ = now + resend_interval_;
   next_keepalive_at_ = now + settings_.keepalive_interval;
   sendWindow();
@@ -291,7 +291,7 @@
 Duration CallerFlow::backoff() {
   const std::uint32_t doublings = std::min(attempts_, 10U);
   const Duration ceiling =
-      std::min(settings_.backoff_max, settings_.backoff_base * (1U << doublings));
+      std::min(settings_.max_backoff, settings_.backoff_base * (1U << doublings));
   return Duration(static_cast<std::int64_t>(static_cast<double>(ceiling.count()) * random_.unit()));
 }
 
--- a/src/client/caller_flow.h
+++ b/src/client/caller_flow.h
@@ -16,7 +16,7 @@
 /** How a call ended. */
 enum class CallResult {
   /** The whole answer arrived. */
-  Whole,
+  Complete,
   /** The request did not run; see retry_after. */
   NotRun,
   /** The request may or may not have run, and may not be repeated. */
@@ -27,13 +27,13 @@
 
 /** Tunables of the caller library. */
 struct CallerSettings {
-  Duration resend_interval = milliseconds(200);
-  Duration resend_interval_max = seconds(1);
+  Duration retransmit_interval = milliseconds(200);
+  Duration max_retransmit_interval = seconds(1);
   /** Pieces of the request that may be on the way unconfirmed. */
   std::uint32_t window = 16;
   Duration keepalive_interval = milliseconds(500);
   /** After this long without any datagram the caller probes, since single ways may be cut. */
-  Duration probe_after = milliseconds(800);
+  Duration probe_delay = milliseconds(800);
   Duration probe_interval = milliseconds(100);
   /** Without any datagram for this long an established flow counts as lost. */
   Duration idle_timeout = seconds(3);
@@ -42,7 +42,7 @@
   /** Attempts in all, the first included. */
   std::uint32_t max_attempts = 20;
   Duration backoff_base = milliseconds(100);
-  Duration backoff_max = seconds(5);
+  Duration max_backoff = seconds(5);
 };
 
 /** One request of a caller. */
@@ -101,7 +101,7 @@
   const FlowKey& key() const { return key_; }
 
   /** @return how often an established attempt was lost or reset (each a broken flow). */
-  std::uint32_t breaks() const { return breaks_; }
+  std::uint32_t brokenAttemptCount() const { return breaks_; }
 
   /** @return the next answer piece wanted; all below have been delivered. */
   std::uint32_t nextAnswerPiece() const { return next_answer_piece_; }
--- a/src/programs/ctl_request.cc
+++ b/src/programs/ctl_request.cc
@@ -56,7 +56,7 @@
     output["backends"].push_back(backend.value());
   }
   std::cout << output.dump() << std::endl;
-  return result == CallResult::Whole ? kExitSuccess : kExitFailure;
+  return result == CallResult::Complete ? kExitSuccess : kExitFailure;
 }
 
 }  // namespace
--- a/src/programs/standin_caller.cc
+++ b/src/programs/standin_caller.cc
@@ -94,8 +94,8 @@
   void record(const CallerModel& call) {
     const CallResult result = *call.flow().result();
     ++results_[toString(result)];
-    whole_ += result == CallResult::Whole ? 1 : 0;
-    breaks_ += call.flow().breaks();
+    whole_ += result == CallResult::Complete ? 1 : 0;
+    breaks_ += call.flow().brokenAttemptCount();
     wrong_pieces_ += call.observation().wrong_pieces;
     pieces_ += call.observation().pieces;
     moved_ += call.observation().backends.size() > 1 ? 1 : 0;
--- a/src/sim/call_generator.cc
+++ b/src/sim/call_generator.cc
@@ -144,11 +144,11 @@
                           const Refused* refused) {
   const CallerFlow& flow = call.model->flow();
   const FlowKey key = flow.key();
-  const std::uint32_t breaks = flow.breaks();
+  const std::uint32_t breaks = flow.brokenAttemptCount();
   const bool backed_off = flow.isBackingOff();
   const MonotonicTime now = fleet_.queue().now();
   input();
-  if (flow.breaks() > breaks) {
+  if (flow.brokenAttemptCount() > breaks) {
     call.record.breaks.push_back({key, now, flow.lastReason()});
   }
   const bool moved_on = flow.key() != key || flow.result() || flow.isBackingOff();
--- a/src/sim/caller_model.cc
+++ b/src/sim/caller_model.cc
@@ -67,7 +67,7 @@
 
 const char* toString(CallResult result) {
   switch (result) {
-    case CallResult::Whole:
+    case CallResult::Complete:
       return "whole";
     case CallResult::NotRun:
       return "not_run";
--- a/src/sim/promise_checker.cc
+++ b/src/sim/promise_checker.cc
@@ -56,7 +56,7 @@
       }
       report_.broken_planned += call.result ? 0 : 1;
       report_.crossed_answers += call.wrong_pieces > 0 ? 1 : 0;
-      if (call.result == CallResult::Whole && call.pieces != call.pieces_wanted) {
+      if (call.result == CallResult::Complete && call.pieces != call.pieces_wanted) {
         ++report_.crossed_answers;
       }
       if (call.result == CallResult::NotRun) {
--- a/tests/client/caller_flow_test.cc
+++ b/tests/client/caller_flow_test.cc
@@ -102,7 +102,7 @@
       call.answer(sequence, sequence == 2);
     }
     CHECK(call.delivered == std::vector<std::uint32_t>{0, 1, 2});
-    CHECK(call.flow.result() == CallResult::Whole);
+    CHECK(call.flow.result() == CallResult::Complete);
   }
 }
 
@@ -150,7 +150,7 @@
   CHECK(call.count<Data>(1) == 1);
   CHECK(call.count<Open>(1) == 0);
   call.answer(0, true, 1);
-  CHECK(call.flow.result() == CallResult::Whole);
+  CHECK(call.flow.result() == CallResult::Complete);
 }
 
 TEST_CASE("a request that may not be repeated ends as unknown when its flow breaks") {
@@ -260,7 +260,7 @@
   call.pass(seconds(8));
   CHECK_FALSE(call.flow.result());
   call.answer(0, true);
-  CHECK(call.flow.result() == CallResult::Whole);
+  CHECK(call.flow.result() == CallResult::Complete);
 }
 
 TEST_CASE("cancellation and the deadline tell the back end, and never change a result") {
@@ -281,7 +281,7 @@
   whole.placed();
   whole.answer(0, true);
   whole.flow.cancel();
-  CHECK(whole.flow.result() == CallResult::Whole);
+  CHECK(whole.flow.result() == CallResult::Complete);
   CHECK(whole.count<Cancel>() == 0);
 }
 
--- a/tests/sim/promise_checker_test.cc
+++ b/tests/sim/promise_checker_test.cc
@@ -27,7 +27,7 @@
   call.pieces = 1;
   call.began_at = at(1);
   call.ended_at = at(2);
-  call.result = CallResult::Whole;
+  call.result = CallResult::Complete;
   trace.calls.push_back(call);
   trace.placements.push_back({kKey, kBackend, at(1)});
   trace.runs.push_back({kKey, WorkKind::Upload, kBackend, kService, kZone, at(1), at(1)});
