--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -1,7 +1,7 @@
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
-#include "common/bounded_event_log.h"
+#include "common/rate_limited_event_log.h"
 #include "flow/flow_router.h"
 #include "flow/packet_router.h"
 #include "wire/datagram_codec.h"
@@ -161,7 +161,7 @@
   BenchRouter services;
   RealTimeSource time;
   NullEventLog dropped;
-  BoundedEventLog log{dropped, LogLimits(), time};
+  RateLimitedEventLog log{dropped, LogLimits(), time};
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
   BackendLoadTable loads{LoadEstimateSettings(), time};
   PlacementEngine placement{PlacementSettings(), makePlacementPolicy("bounded_rendezvous"), loads,
--- a/src/balancer/control_work_meter.h
+++ b/src/balancer/control_work_meter.h
@@ -2,8 +2,8 @@
 
 #include <array>
 
+#include "common/cpu_clock.h"
 #include "common/event_log.h"
-#include "common/processor_clock.h"
 
 namespace lugfork {
 
@@ -40,7 +40,7 @@
   explicit ControlWorkMeter(EventLog& log) : log_(log) {}
 
   /** Sets the clock; without one only slices and units are counted. */
-  void setClock(const ProcessorClock& clock) { clock_ = &clock; }
+  void setClock(const CpuClock& clock) { clock_ = &clock; }
 
   /** Does one slice of work. @param work returns the units that it consisted of. */
   template <typename Work>
@@ -60,7 +60,7 @@
   void note(ControlWork kind, std::uint64_t units, Duration processor);
 
   EventLog& log_;
-  const ProcessorClock* clock_ = nullptr;
+  const CpuClock* clock_ = nullptr;
   std::array<ControlWorkCost, kControlWorkCount> costs_{};
 };
 
--- a/src/balancer/packet_node.h
+++ b/src/balancer/packet_node.h
@@ -135,7 +135,7 @@
   }
 
   /** Sets the clock by which control work is measured. */
-  void setProcessorClock(const ProcessorClock& clock) { work_.setClock(clock); }
+  void setProcessorClock(const CpuClock& clock) { work_.setClock(clock); }
   const ControlWorkMeter& controlWork() const { return work_; }
 
   /** @return what others report of silent servers; an EvidenceExchange feeds it. */
--- a/src/common/processor_clock.h
+++ b/src/common/cpu_clock.h
@@ -7,17 +7,17 @@
 namespace lugfork {
 
 /** Processor time that the calling thread has used. */
-class ProcessorClock {
+class CpuClock {
  public:
-  virtual ~ProcessorClock() = default;
+  virtual ~CpuClock() = default;
   virtual Duration used() const = 0;
 };
 
 /**
- * ProcessorClock of the operating system: unlike elapsed time it stands still without a share. By
+ * CpuClock of the operating system: unlike elapsed time it stands still without a share. By
  * getrusage(), since a machine whose clocks are replaced by others answers clock_gettime() wrongly.
  */
-class ThreadProcessorClock : public ProcessorClock {
+class ThreadCpuClock : public CpuClock {
  public:
   Duration used() const override {
     rusage usage{};
--- a/src/common/bounded_event_log.cc
+++ b/src/common/rate_limited_event_log.cc
@@ -1,12 +1,12 @@
-#include "common/bounded_event_log.h"
+#include "common/rate_limited_event_log.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace lugfork {
 
-void BoundedEventLog::write(LogLevel level, std::string_view component, std::string_view event,
-                            std::initializer_list<LogField> fields) {
+void RateLimitedEventLog::write(LogLevel level, std::string_view component, std::string_view event,
+                                std::initializer_list<LogField> fields) {
   Budget& budget = budgetOf(component, event);
   refill(budget);
   if (budget.balance < 1) {
@@ -21,8 +21,8 @@
   next_.write(level, component, event, fields);
 }
 
-BoundedEventLog::Budget& BoundedEventLog::budgetOf(std::string_view component,
-                                                   std::string_view event) {
+RateLimitedEventLog::Budget& RateLimitedEventLog::budgetOf(std::string_view component,
+                                                           std::string_view event) {
   auto events = budgets_.find(component);
   if (events == budgets_.end()) {
     events = budgets_.emplace(std::string(component), BudgetByEvent()).first;
@@ -35,8 +35,8 @@
   return found->second;
 }
 
-bool BoundedEventLog::wouldWrite(LogLevel level, std::string_view component,
-                                 std::string_view event) {
+bool RateLimitedEventLog::wouldWrite(LogLevel level, std::string_view component,
+                                     std::string_view event) {
   if (!next_.wouldWrite(level, component, event)) {
     return false;
   }
@@ -49,12 +49,12 @@
   return true;
 }
 
-void BoundedEventLog::leaveOut(Budget& budget) {
+void RateLimitedEventLog::leaveOut(Budget& budget) {
   ++budget.left_out;
   ++suppressed_;
 }
 
-void BoundedEventLog::refill(Budget& budget) const {
+void RateLimitedEventLog::refill(Budget& budget) const {
   const MonotonicTime now = time_source_.monotonicTime();
   const double elapsed = std::chrono::duration<double>(now - budget.refilled_at).count();
   budget.refilled_at = now;
--- a/src/common/bounded_event_log.h
+++ b/src/common/rate_limited_event_log.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Limits of a BoundedEventLog. */
+/** Limits of a RateLimitedEventLog. */
 struct LogLimits {
   /** Lines a second for each event of a component. */
   double lines_per_second = 100;
@@ -21,9 +21,9 @@
  * fills the output nor hides another. Says how many lines of which event were left out with its
  * first one that passes again.
  */
-class BoundedEventLog : public EventLog {
+class RateLimitedEventLog : public EventLog {
  public:
-  BoundedEventLog(EventLog& next, LogLimits limits, const TimeSource& time_source)
+  RateLimitedEventLog(EventLog& next, LogLimits limits, const TimeSource& time_source)
       : next_(next), limits_(limits), time_source_(time_source) {}
 
   void write(LogLevel level, std::string_view component, std::string_view event,
--- a/src/runtime/packet_daemon.h
+++ b/src/runtime/packet_daemon.h
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "balancer/packet_node.h"
-#include "common/bounded_event_log.h"
+#include "common/rate_limited_event_log.h"
 #include "discovery/evidence_exchange.h"
 #include "discovery/hedged_reads.h"
 #include "discovery/peer_exchange.h"
@@ -133,7 +133,7 @@
   const PacketDaemonSettings settings_;
   const PacketCodec& codec_;
   RealTimeSource time_source_;
-  BoundedEventLog log_;
+  RateLimitedEventLog log_;
   std::unique_ptr<RandomGenerator> random_;
   boost::asio::io_context& io_context_;
   AsioScheduler scheduler_;
@@ -148,7 +148,7 @@
   std::unique_ptr<PeerExchange> peer_exchange_;
   std::unique_ptr<ViewProvider> provider_;
   UpstreamSource source_;
-  ThreadProcessorClock processor_clock_;
+  ThreadCpuClock processor_clock_;
   PacketNode node_;
   /** Null where this balancer knows no other, or shares no evidence. */
   std::unique_ptr<EvidenceExchange> evidence_exchange_;
--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -7,7 +7,7 @@
 namespace lugfork {
 namespace {
 
-struct ManualProcessorClock : ProcessorClock {
+struct ManualProcessorClock : CpuClock {
   Duration used() const override { return used_so_far; }
   Duration used_so_far{};
 };
--- a/tests/common/bounded_event_log_test.cc
+++ b/tests/common/rate_limited_event_log_test.cc
@@ -1,4 +1,4 @@
-#include "common/bounded_event_log.h"
+#include "common/rate_limited_event_log.h"
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -36,7 +36,7 @@
 struct BoundedLogFixture {
   ManualTime time;
   RecordedLog recorded;
-  BoundedEventLog log{recorded, LogLimits{10, 3}, time};
+  RateLimitedEventLog log{recorded, LogLimits{10, 3}, time};
 
   void write(const std::string& component, const std::string& event, int times = 1) {
     for (int count = 0; count < times; ++count) {
