--- a/src/programs/ctl_declare.cc
+++ b/src/programs/ctl_declare.cc
@@ -152,7 +152,7 @@
   addEndpointListOption(command, "--node", settings.wait_settings.nodes,
                         "API addresses of the nodes to wait for; all on the platform's list "
                         "unless given");
-  addMillisecondsOption(command, "--wait-limit", settings.wait_settings.limit, milliseconds(1),
+  addMillisecondsOption(command, "--wait-limit", settings.wait_settings.timeout, milliseconds(1),
                         milliseconds(3600000), "longest wait");
   addTokenOption(command, settings.wait_settings.token);
 }
--- a/src/programs/ctl_platform.cc
+++ b/src/programs/ctl_platform.cc
@@ -105,7 +105,7 @@
 
 bool waitUntilInForce(const WaitSettings& settings, ConfigVersion version) {
   const RealTimeSource clock;
-  const MonotonicTime limit = clock.monotonicTime() + settings.limit;
+  const MonotonicTime limit = clock.monotonicTime() + settings.timeout;
   std::vector<Endpoint> behind = settings.nodes;
   const auto is_current = [&](Endpoint node) {
     const auto in_force = versionInForce(node, settings.token);
--- a/src/programs/ctl_platform.h
+++ b/src/programs/ctl_platform.h
@@ -32,7 +32,7 @@
 /** Whom to wait for, and how long. */
 struct WaitSettings {
   std::vector<Endpoint> nodes;
-  Duration limit = seconds(30);
+  Duration timeout = seconds(30);
   std::string token;
 };
 
--- a/src/programs/lugfork_standin.cc
+++ b/src/programs/lugfork_standin.cc
@@ -11,6 +11,6 @@
   lugfork::addPlatformCommand(app, run);
   lugfork::addFabricCommand(app, run);
   lugfork::addBackendCommand(app, run);
-  lugfork::addCallerCommand(app, run);
+  lugfork::addClientCommand(app, run);
   return lugfork::runProgram(app, argc, argv, [&run] { return run(); });
 }
--- a/src/programs/standin_caller.cc
+++ b/src/programs/standin_client.cc
@@ -18,7 +18,7 @@
 
 constexpr Duration kTickInterval = milliseconds(10);
 
-struct CallerProgramSettings {
+struct ClientProgramSettings {
   Endpoint fabric;
   Endpoint service;
   std::uint32_t service_id = 0;
@@ -30,9 +30,9 @@
 };
 
 /** Makes calls at a fixed spacing and reports how they ended. */
-class CallerStandin {
+class ClientStandin {
  public:
-  explicit CallerStandin(const CallerProgramSettings& settings)
+  explicit ClientStandin(const ClientProgramSettings& settings)
       : settings_(settings),
         random_(makeSeededRandom(entropySeed())),
         socket_(io_context_, Endpoint{0x7f000001, 0},
@@ -119,7 +119,7 @@
             {"calls_by_backend", by_backend}};
   }
 
-  const CallerProgramSettings settings_;
+  const ClientProgramSettings settings_;
   boost::asio::io_context io_context_;
   RealTimeSource time_source_;
   std::unique_ptr<RandomGenerator> random_;
@@ -154,9 +154,9 @@
 
 }  // namespace
 
-void addCallerCommand(CLI::App& app, CommandBody& run) {
+void addClientCommand(CLI::App& app, CommandBody& run) {
   CLI::App* command = app.add_subcommand("caller", "makes calls and checks the answers");
-  const auto settings = std::make_shared<CallerProgramSettings>();
+  const auto settings = std::make_shared<ClientProgramSettings>();
   addEndpointOption(*command, "--fabric", settings->fabric, "UDP address of the fabric")
       ->required();
   addEndpointOption(*command, "--service", settings->service, "service address")->required();
@@ -171,7 +171,7 @@
   addMillisecondsOption(*command, "--time-limit", settings->time_limit, milliseconds(1),
                         milliseconds(3600000), "longest time of the whole run");
   command->callback([&run, settings] {
-    run = [settings] { return CallerStandin(*settings).run() ? kExitSuccess : kExitFailure; };
+    run = [settings] { return ClientStandin(*settings).run() ? kExitSuccess : kExitFailure; };
   });
 }
 
--- a/src/programs/standin_commands.h
+++ b/src/programs/standin_commands.h
@@ -18,6 +18,6 @@
 void addBackendCommand(CLI::App& app, CommandBody& run);
 
 /** Callers that make many calls and check the answers. */
-void addCallerCommand(CLI::App& app, CommandBody& run);
+void addClientCommand(CLI::App& app, CommandBody& run);
 
 }  // namespace lugfork
