--- a/src/appender/log4cxx_appender.cc
+++ b/src/appender/log4cxx_appender.cc
@@ -1,4 +1,4 @@
-/** Module lugfork-log4cxx.so: writes finished log lines through log4cxx's console appender. */
+/** Module lugfork-log4cxx.so: writes formatted log lines to log4cxx's console appender. */
 
 #include <log4cxx/consoleappender.h>
 #include <log4cxx/logger.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Lines come with their end, and what is below the level never comes here. */
+/** The layout adds nothing, as lines include their newline; levels are filtered by the program. */
 log4cxx::LoggerPtr makeLogger() {
   const auto layout = std::make_shared<log4cxx::PatternLayout>("%m");
   const auto appender =
--- a/src/client/caller_flow.cc
+++ b/src/client/caller_flow.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Ticks further apart than this mean that the caller's own process stood still. */
-constexpr Duration kLongestTickGap = milliseconds(500);
+/** A longer gap between ticks means that the client's process was paused. */
+constexpr Duration kMaxTickGap = milliseconds(500);
 
 }  // namespace
 
@@ -33,13 +33,13 @@
 
 void CallerFlow::onDatagram(const Datagram& datagram) {
   if (state_ == State::Ended) {
-    confirmAgain(datagram);
+    reacknowledgeAnswer(datagram);
     return;
   }
   std::visit([this](const auto& body) { handle(body); }, datagram);
 }
 
-void CallerFlow::confirmAgain(const Datagram& datagram) {
+void CallerFlow::reacknowledgeAnswer(const Datagram& datagram) {
   const Answer* answer = std::get_if<Answer>(&datagram);
   if (answer != nullptr && answer->key == key_ && result_ == CallResult::Complete) {
     sendAnswerAck();
@@ -55,7 +55,7 @@
     cancel();
     return;
   }
-  noteOwnPause(now);
+  detectLocalPause(now);
   if (state_ == State::BackingOff) {
     if (now >= retry_at_) {
       retryWithinBudget();
@@ -63,29 +63,30 @@
     return;
   }
   if (state_ == State::Opening && now - attempt_started_at_ >= settings_.open_timeout) {
-    waitToRetry(CallResult::NotRun, settings_.backoff_base);
+    scheduleRetry(CallResult::NotRun, settings_.backoff_base);
     return;
   }
-  if (state_ == State::Active && now - last_heard_at_ >= settings_.idle_timeout) {
+  if (state_ == State::Active && now - last_received_at_ >= settings_.idle_timeout) {
     onAttemptBroken(Reason::None, Duration::zero());
     return;
   }
-  if (now >= next_resend_at_) {
-    resend_interval_ = std::min(2 * resend_interval_, settings_.max_retransmit_interval);
-    next_resend_at_ = now + resend_interval_;
+  if (now >= next_retransmit_at_) {
+    retransmit_interval_ = std::min(2 * retransmit_interval_, settings_.max_retransmit_interval);
+    next_retransmit_at_ = now + retransmit_interval_;
     if (state_ == State::Opening) {
       sendOpen();
     } else {
-      next_to_send_ = next_unconfirmed_;
+      next_to_send_ = next_unacknowledged_;
       sendWindow();
     }
   }
-  // A keepalive that overtook the first piece would meet a back end that does not know the flow.
+  // A keepalive that arrives before the first piece would reach a backend without state for the
+  // flow.
   if (state_ == State::Active && established_ && now >= next_keepalive_at_) {
     sendAnswerAck();
   }
-  const bool silent = now - last_heard_at_ >= settings_.probe_delay;
-  if (state_ == State::Active && silent && now >= next_probe_at_) {
+  const bool is_silent = now - last_received_at_ >= settings_.probe_delay;
+  if (state_ == State::Active && is_silent && now >= next_probe_at_) {
     next_probe_at_ = now + settings_.probe_interval;
     sendProbe();
   }
@@ -96,7 +97,7 @@
     beginAttempt();
     return;
   }
-  waitToRetry(pending_result_, settings_.backoff_base);
+  scheduleRetry(pending_result_, settings_.backoff_base);
 }
 
 void CallerFlow::cancel() {
@@ -110,7 +111,7 @@
 }
 
 void CallerFlow::handle(const Placed& placed) {
-  // A second placement of the same attempt is ignored: one attempt uses one token.
+  // Further placements of an attempt are ignored: an attempt uses one token.
   if (state_ == State::Opening && placed.key == key_) {
     activate(placed.token);
   }
@@ -120,15 +121,15 @@
   if (state_ != State::Active || ack.key != key_) {
     return;
   }
-  last_heard_at_ = time_source_.monotonicTime();
+  last_received_at_ = time_source_.monotonicTime();
   established_ = true;
-  if (ack.next_expected <= next_unconfirmed_ || ack.next_expected > pieces_.size()) {
+  if (ack.next_expected <= next_unacknowledged_ || ack.next_expected > pieces_.size()) {
     return;
   }
-  next_unconfirmed_ = ack.next_expected;
-  next_to_send_ = std::max(next_to_send_, next_unconfirmed_);
-  resend_interval_ = settings_.retransmit_interval;
-  next_resend_at_ = last_heard_at_ + resend_interval_;
+  next_unacknowledged_ = ack.next_expected;
+  next_to_send_ = std::max(next_to_send_, next_unacknowledged_);
+  retransmit_interval_ = settings_.retransmit_interval;
+  next_retransmit_at_ = last_received_at_ + retransmit_interval_;
   sendWindow();
 }
 
@@ -136,12 +137,12 @@
   if (state_ != State::Active || answer.key != key_) {
     return;
   }
-  last_heard_at_ = time_source_.monotonicTime();
+  last_received_at_ = time_source_.monotonicTime();
   established_ = true;
-  next_unconfirmed_ = static_cast<std::uint32_t>(pieces_.size());
-  next_to_send_ = next_unconfirmed_;
+  next_unacknowledged_ = static_cast<std::uint32_t>(pieces_.size());
+  next_to_send_ = next_unacknowledged_;
   if (answer.sequence >= next_answer_piece_) {
-    answers_ahead_.emplace(answer.sequence, answer);
+    out_of_order_answers_.emplace(answer.sequence, answer);
   }
   if (answer.last) {
     last_answer_piece_ = answer.sequence;
@@ -156,8 +157,8 @@
 }
 
 void CallerFlow::handle(const Refused& refused) {
-  // Several balancers may answer copies of one Open. Once a placement is in use, a refusal of a
-  // copy says nothing of the work; only the back end's refusal of the attempt does.
+  // Several balancers may answer retransmissions of one Open. Once a placement is in use, a refused
+  // retransmission has no bearing on the request; only a refusal of the attempt by the backend has.
   const RefusalScope awaited =
       state_ == State::Active ? RefusalScope::Attempt : RefusalScope::Placement;
   const bool awaiting = state_ == State::Opening || state_ == State::Active;
@@ -165,16 +166,16 @@
     return;
   }
   last_reason_ = refused.reason;
-  const bool attempts_left =
+  const bool has_attempts_left =
       attempts_ < settings_.max_attempts && key_.attempt < std::numeric_limits<std::uint8_t>::max();
-  if (!refused.replacement.empty() && attempts_left) {
+  if (!refused.replacement.empty() && has_attempts_left) {
     ++attempts_;
     ++key_.attempt;
     pieces_ = request_.make_pieces(next_answer_piece_);
     activate(refused.replacement);
     return;
   }
-  waitToRetry(CallResult::NotRun, milliseconds(refused.retry_after_ms));
+  scheduleRetry(CallResult::NotRun, milliseconds(refused.retry_after_ms));
 }
 
 void CallerFlow::handle(const Reset& reset) {
@@ -191,8 +192,8 @@
   state_ = State::Opening;
   pieces_ = request_.make_pieces(next_answer_piece_);
   attempt_started_at_ = time_source_.monotonicTime();
-  resend_interval_ = settings_.retransmit_interval;
-  next_resend_at_ = attempt_started_at_ + resend_interval_;
+  retransmit_interval_ = settings_.retransmit_interval;
+  next_retransmit_at_ = attempt_started_at_ + retransmit_interval_;
   sendOpen();
 }
 
@@ -200,14 +201,14 @@
   const MonotonicTime now = time_source_.monotonicTime();
   state_ = State::Active;
   token_ = token;
-  next_unconfirmed_ = 0;
+  next_unacknowledged_ = 0;
   next_to_send_ = 0;
-  answers_ahead_.clear();
+  out_of_order_answers_.clear();
   last_answer_piece_.reset();
-  last_heard_at_ = now;
+  last_received_at_ = now;
   established_ = false;
-  resend_interval_ = settings_.retransmit_interval;
-  next_resend_at_ = now + resend_interval_;
+  retransmit_interval_ = settings_.retransmit_interval;
+  next_retransmit_at_ = now + retransmit_interval_;
   next_keepalive_at_ = now + settings_.keepalive_interval;
   sendWindow();
 }
@@ -218,7 +219,7 @@
 
 void CallerFlow::sendWindow() {
   const auto piece_count = static_cast<std::uint32_t>(pieces_.size());
-  const std::uint32_t end = std::min(piece_count, next_unconfirmed_ + settings_.window);
+  const std::uint32_t end = std::min(piece_count, next_unacknowledged_ + settings_.window);
   for (; next_to_send_ < end; ++next_to_send_) {
     const bool last = next_to_send_ + 1 == piece_count;
     outputs_.sendToService(Data{request_.service, key_, token_, next_to_send_, last,
@@ -231,51 +232,51 @@
   outputs_.sendToService(AnswerAck{request_.service, key_, token_, next_answer_piece_});
 }
 
-void CallerFlow::noteOwnPause(MonotonicTime now) {
-  const bool paused = last_tick_at_ != MonotonicTime() && now - last_tick_at_ >= kLongestTickGap;
+void CallerFlow::detectLocalPause(MonotonicTime now) {
+  const bool paused = last_tick_at_ != MonotonicTime() && now - last_tick_at_ >= kMaxTickGap;
   last_tick_at_ = now;
   if (paused) {
-    last_heard_at_ = now;
+    last_received_at_ = now;
   }
 }
 
 void CallerFlow::sendProbe() {
-  if (next_unconfirmed_ == pieces_.size()) {
+  if (next_unacknowledged_ == pieces_.size()) {
     sendAnswerAck();
     return;
   }
-  const bool last = next_unconfirmed_ + 1 == pieces_.size();
-  outputs_.sendToService(Data{request_.service, key_, token_, next_unconfirmed_, last,
-                              remainingDeadlineMilliseconds(), pieces_[next_unconfirmed_]});
+  const bool last = next_unacknowledged_ + 1 == pieces_.size();
+  outputs_.sendToService(Data{request_.service, key_, token_, next_unacknowledged_, last,
+                              remainingDeadlineMilliseconds(), pieces_[next_unacknowledged_]});
 }
 
 void CallerFlow::deliverInOrder() {
-  auto piece = answers_ahead_.find(next_answer_piece_);
-  while (piece != answers_ahead_.end()) {
+  auto piece = out_of_order_answers_.find(next_answer_piece_);
+  while (piece != out_of_order_answers_.end()) {
     outputs_.onAnswerPiece(piece->second);
-    answers_ahead_.erase(piece);
+    out_of_order_answers_.erase(piece);
     ++next_answer_piece_;
-    piece = answers_ahead_.find(next_answer_piece_);
+    piece = out_of_order_answers_.find(next_answer_piece_);
   }
 }
 
 void CallerFlow::onAttemptBroken(Reason reason, Duration retry_after) {
-  ++breaks_;
+  ++broken_attempt_count_;
   last_reason_ = reason;
   if (!request_.may_repeat) {
     end(CallResult::Unknown);
     return;
   }
-  waitToRetry(CallResult::Unknown, retry_after);
+  scheduleRetry(CallResult::Unknown, retry_after);
 }
 
-void CallerFlow::waitToRetry(CallResult result, Duration retry_after) {
+void CallerFlow::scheduleRetry(CallResult result, Duration retry_after) {
   retry_after_ = retry_after;
-  const Duration wait = std::max(retry_after, backoff());
-  retry_at_ = time_source_.monotonicTime() + wait;
-  const bool attempts_left =
+  const Duration delay = std::max(retry_after, backoff());
+  retry_at_ = time_source_.monotonicTime() + delay;
+  const bool has_attempts_left =
       attempts_ < settings_.max_attempts && key_.attempt < std::numeric_limits<std::uint8_t>::max();
-  if (!attempts_left || deadlinePassed(retry_at_)) {
+  if (!has_attempts_left || deadlinePassed(retry_at_)) {
     end(result);
     return;
   }
@@ -304,8 +305,8 @@
     return 0;
   }
   const Duration remaining = started_at_ + request_.deadline - time_source_.monotonicTime();
-  const auto whole = std::chrono::duration_cast<milliseconds>(remaining).count();
-  return static_cast<std::uint32_t>(std::max<std::int64_t>(1, whole));
+  const auto remaining_ms = std::chrono::duration_cast<milliseconds>(remaining).count();
+  return static_cast<std::uint32_t>(std::max<std::int64_t>(1, remaining_ms));
 }
 
 }  // namespace lugfork
--- a/src/common/cpu_clock.h
+++ b/src/common/cpu_clock.h
@@ -6,7 +6,7 @@
 
 namespace lugfork {
 
-/** Processor time that the calling thread has used. */
+/** Clock of the CPU time used by the calling thread. */
 class CpuClock {
  public:
   virtual ~CpuClock() = default;
@@ -14,8 +14,9 @@
 };
 
 /**
- * CpuClock of the operating system: unlike elapsed time it stands still without a share. By
- * getrusage(), since a machine whose clocks are replaced by others answers clock_gettime() wrongly.
+ * CpuClock of the operating system. Unlike elapsed time, it doesn't advance while the thread is not
+ * scheduled. Uses getrusage(), since clock_gettime() gives wrong results on machines whose clocks
+ * are replaced.
  */
 class ThreadCpuClock : public CpuClock {
  public:
--- a/src/common/endpoint_parser.h
+++ b/src/common/endpoint_parser.h
@@ -8,8 +8,8 @@
 namespace lugfork {
 
 /**
- * Reads "a.b.c.d:port".
- * @return the endpoint, or nothing when the text is no IPv4 address with a port of 1 to 65535.
+ * Parses "a.b.c.d:port".
+ * @return the endpoint, or nothing if the text is not an IPv4 address with a port from 1 to 65535.
  */
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
--- a/src/common/event_log.h
+++ b/src/common/event_log.h
@@ -10,7 +10,7 @@
 
 enum class LogLevel { Debug, Info, Warn, Error };
 
-/** One typed field of a log event. Views must outlive the call to EventLog::write only. */
+/** One typed field of a log event. The name needs to outlive only the call of EventLog::write. */
 struct LogField {
   std::string_view name;
   std::variant<std::string, std::int64_t, double, bool> value;
@@ -37,16 +37,16 @@
 
   /**
    * Writes one event.
-   * @param component the module that reports, for example "membership".
-   * @param event the event's name in snake case, for example "member_suspected".
+   * @param component module that writes the event, for example "membership".
+   * @param event name of the event in snake case, for example "member_suspected".
    */
   virtual void write(LogLevel level, std::string_view component, std::string_view event,
                      std::initializer_list<LogField> fields) = 0;
 
   /**
-   * To be asked before the fields of a frequent event are made; an event that isn't written then
-   * counts as left out.
-   * @return false where write() would drop the event.
+   * Checks whether an event would be written, before its fields are built; meant for frequent
+   * events. An event for which this returns false counts as suppressed.
+   * @return false if write() would discard the event.
    */
   virtual bool wouldWrite(LogLevel /*level*/, std::string_view /*component*/,
                           std::string_view /*event*/) {
@@ -54,7 +54,7 @@
   }
 };
 
-/** EventLog that drops everything, for tests. */
+/** EventLog that discards all events, for tests. */
 class NullEventLog : public EventLog {
  public:
   void write(LogLevel, std::string_view, std::string_view,
--- a/src/common/ids.h
+++ b/src/common/ids.h
@@ -8,12 +8,12 @@
 #include <tuple>
 
 /**
- * Identifiers shared by all modules. Each kind of identifier is a type of its own, so that a back
- * end id can't be passed where a service id is meant.
+ * Identifiers shared by all modules. Each kind of identifier is a distinct type, so that a backend
+ * id can't be passed as a service id.
  */
 namespace lugfork {
 
-/** Integer identifier with a type of its own. */
+/** Integer identifier that is a distinct type for each tag. */
 template <typename Tag, typename Value>
 class StrongId {
  public:
@@ -31,19 +31,19 @@
 using BackendId = StrongId<struct BackendIdTag, std::uint32_t>;
 using ZoneId = StrongId<struct ZoneIdTag, std::uint16_t>;
 using KeyId = StrongId<struct KeyIdTag, std::uint16_t>;
-/** Version of the configuration document; rises with every accepted change. */
+/** Version of the configuration document; increases with every accepted change. */
 using ConfigVersion = StrongId<struct ConfigVersionTag, std::uint64_t>;
 /** Hash of a balancer's name; the name is unique in the fleet. */
 using NodeId = StrongId<struct NodeIdTag, std::uint64_t>;
 
-/** Random 128-bit identifier of a flow, chosen by the caller. */
+/** Random 128-bit identifier of a flow, chosen by the client. */
 struct FlowId {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
   auto operator<=>(const FlowId&) const = default;
 };
 
-/** One attempt of a flow: a caller that was told "not run" tries again under the next attempt. */
+/** Identifies one attempt of a flow; a client retries under the next attempt number. */
 struct FlowKey {
   FlowId flow;
   std::uint8_t attempt = 0;
@@ -68,7 +68,7 @@
 /** @return "a.b.c.d:port". */
 std::string toString(const Endpoint& endpoint);
 
-/** Node id of a balancer, derived from its name in the settings. */
+/** @return the node id of a balancer: a hash of its name in the settings. */
 NodeId nodeIdFromName(const std::string& name);
 
 }  // namespace lugfork
--- a/src/common/random_generator.h
+++ b/src/common/random_generator.h
@@ -25,7 +25,7 @@
   __extension__ using Wide = unsigned __int128;
 };
 
-/** @return a generator whose sequence follows from the seed alone (PCG64). */
+/** @return a PCG64 generator whose sequence depends only on the seed. */
 std::unique_ptr<RandomGenerator> makeSeededRandom(std::uint64_t seed);
 
 /** @return a seed from the operating system's entropy source. */
--- a/src/common/rate_limited_event_log.h
+++ b/src/common/rate_limited_event_log.h
@@ -8,18 +8,18 @@
 
 namespace lugfork {
 
-/** Limits of a RateLimitedEventLog. */
+/** Limits of a RateLimitedEventLog for each event of a component. */
 struct LogLimits {
-  /** Lines a second for each event of a component. */
+  /** Sustained rate [lines/s]. */
   double lines_per_second = 100;
-  /** Lines that a quiet event may write at once. */
+  /** Number of lines that an event may write at once after a quiet period. */
   double burst = 200;
 };
 
 /**
- * Passes events on within a rate for each event of each component, so that a storm of one neither
- * fills the output nor hides another. Says how many lines of which event were left out with its
- * first one that passes again.
+ * Event log with a token bucket for each event of each component, so that a burst of one event
+ * neither floods the output nor suppresses other events. Before the first line that passes after a
+ * suppression, it reports how many lines of the event were suppressed.
  */
 class RateLimitedEventLog : public EventLog {
  public:
@@ -31,28 +31,28 @@
 
   bool wouldWrite(LogLevel level, std::string_view component, std::string_view event) override;
 
-  /** Changes the rate of each event, as where the processor is needed for other work. */
+  /** Changes the sustained rate [lines/s], for example to leave CPU time to other work. */
   void setLinesPerSecond(double rate) { limits_.lines_per_second = rate; }
 
-  /** @return lines left out since the start. */
+  /** @return number of lines suppressed since the start. */
   std::uint64_t suppressed() const { return suppressed_; }
 
  private:
-  struct Budget {
-    double balance = 0;
+  struct TokenBucket {
+    double tokens = 0;
     MonotonicTime refilled_at;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
   };
-  using BudgetByEvent = std::map<std::string, Budget, std::less<>>;
+  using BucketByEvent = std::map<std::string, TokenBucket, std::less<>>;
 
-  Budget& budgetOf(std::string_view component, std::string_view event);
-  void refill(Budget& budget) const;
-  void leaveOut(Budget& budget);
+  TokenBucket& bucketOf(std::string_view component, std::string_view event);
+  void refill(TokenBucket& bucket) const;
+  void countSuppressed(TokenBucket& bucket);
 
   EventLog& next_;
   LogLimits limits_;
   const TimeSource& time_source_;
-  std::map<std::string, BudgetByEvent, std::less<>> budgets_;
+  std::map<std::string, BucketByEvent, std::less<>> buckets_;
   std::uint64_t suppressed_ = 0;
 };
 
--- a/src/common/result.h
+++ b/src/common/result.h
@@ -6,7 +6,7 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/** Value or typed error. Each layer has an error type of its own. */
+/** Value or typed error. Each layer defines its own error type. */
 template <typename Value, typename Error>
 using Result = outcome::unchecked<Value, Error>;
 
--- a/src/common/scheduler.h
+++ b/src/common/scheduler.h
@@ -6,12 +6,14 @@
 
 namespace lugfork {
 
-/** Calls functions later, on the thread of the caller's event loop. */
+/** Calls functions after a delay, on the thread of the event loop. */
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
 
-  /** Calls the function once after the delay. Can't be taken back: callers check what still holds.
+  /**
+   * Calls the function once after the delay. There is no cancellation: the function has to check
+   * whether it is still needed.
    */
   virtual void callAfter(Duration delay, std::function<void()> function) = 0;
 };
--- a/src/common/time_source.h
+++ b/src/common/time_source.h
@@ -8,7 +8,7 @@
 /** Resolution of all times in the core. */
 using Duration = std::chrono::microseconds;
 
-/** Time on a clock that never goes back; only differences have a meaning. */
+/** Time of a clock that never goes backwards; only differences are meaningful. */
 using MonotonicTime = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 /** Time since the Unix epoch; comparable between machines within the clock skew. */
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Source of time for the core; the daemon gives real clocks, the simulator virtual ones. */
+/** Source of time for the core; real clocks in the daemon, virtual ones in the simulator. */
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
@@ -45,7 +45,7 @@
   return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
-/** @return the same as messages carry it. */
+/** @return the whole milliseconds of a duration, in the type used in messages. */
 inline std::uint32_t toWireMilliseconds(Duration duration) {
   return static_cast<std::uint32_t>(toMilliseconds(duration));
 }
--- a/src/explain/clock_skew.cc
+++ b/src/explain/clock_skew.cc
@@ -6,10 +6,13 @@
 
 namespace {
 
-/** News takes that long to every node; less than this is no skew [ms]. */
-constexpr std::int64_t kSpread = 2000;
+/**
+ * Longest time that a change of the store takes to reach all nodes; smaller offsets count as no
+ * skew [ms].
+ */
+constexpr std::int64_t kMaxPropagationDelayMs = 2000;
 
-bool tellsRevision(const LogLine& line) {
+bool carriesRevision(const LogLine& line) {
   return line.event == "backend_state" || line.event == "routes_in_force";
 }
 
@@ -19,37 +22,37 @@
   return *middle;
 }
 
-/** When each node learnt of a revision first, by revision. */
-using Arrivals = std::map<std::uint64_t, std::map<std::string, std::int64_t>>;
+/** Time of each node's first log line about a revision [ms since 1970], by revision and node. */
+using ReportTimes = std::map<std::uint64_t, std::map<std::string, std::int64_t>>;
 
-Arrivals arrivalsOf(const std::vector<LogLine>& lines) {
-  Arrivals arrivals;
+ReportTimes reportTimesOf(const std::vector<LogLine>& lines) {
+  ReportTimes report_times;
   for (const LogLine& line : lines) {
     const auto revision = line.number("revision");
-    if (tellsRevision(line) && revision) {
-      arrivals[*revision].try_emplace(line.node, line.time_ms);
+    if (carriesRevision(line) && revision) {
+      report_times[*revision].try_emplace(line.node, line.time_ms);
     }
   }
-  return arrivals;
+  return report_times;
 }
 
 }  // namespace
 
 ClockSkew::ClockSkew(const std::vector<LogLine>& lines) {
   std::map<std::string, std::vector<std::int64_t>> offsets;
-  for (const auto& [revision, by_node] : arrivalsOf(lines)) {
+  for (const auto& [revision, by_node] : reportTimesOf(lines)) {
     std::vector<std::int64_t> times;
     for (const auto& [node, time_ms] : by_node) {
       times.push_back(time_ms);
     }
-    const std::int64_t usual = median(times);
+    const std::int64_t median_time_ms = median(times);
     for (const auto& [node, time_ms] : by_node) {
-      offsets[node].push_back(time_ms - usual);
+      offsets[node].push_back(time_ms - median_time_ms);
     }
   }
   for (const auto& [node, values] : offsets) {
     const std::int64_t offset = median(values);
-    skew_ms_[node] = std::abs(offset) > kSpread ? offset : 0;
+    skew_ms_[node] = std::abs(offset) > kMaxPropagationDelayMs ? offset : 0;
   }
 }
 
--- a/src/explain/clock_skew.h
+++ b/src/explain/clock_skew.h
@@ -9,18 +9,19 @@
 namespace lugfork {
 
 /**
- * Estimates how far the clocks of nodes are apart, by when each of them learnt of the same
- * revisions of the platform: all do within a second or two.
+ * Estimates the offsets between the clocks of nodes. All nodes receive a revision of the store
+ * within one or two seconds, so larger differences between the times at which they log the same
+ * revision come from their clocks.
  */
 class ClockSkew {
  public:
-  /** @param lines in the order in which each node wrote them. */
+  /** @param lines log lines of all nodes, those of one node in the order of writing. */
   explicit ClockSkew(const std::vector<LogLine>& lines);
 
-  /** @return how far a node's clock is ahead of most others, 0 where that is not known [ms]. */
+  /** @return how far a node's clock is ahead of the median, 0 where unknown or small [ms]. */
   std::int64_t ofNode(const std::string& node) const;
 
-  /** @return nodes whose clock is off by more than what the spread of news explains. */
+  /** @return nodes whose clock offset exceeds what propagation delay explains. */
   std::vector<std::string> nodesWithSkew() const;
 
  private:
--- a/src/explain/log_line.cc
+++ b/src/explain/log_line.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::int64_t kMillisecondsInSecond = 1000;
+constexpr std::int64_t kMillisecondsPerSecond = 1000;
 constexpr std::size_t kTimeSize = std::string_view("2026-01-02T03:04:05.678Z").size();
-/** Fields that every line has. */
+/** Fields that every line has; left out of LogLine::fields. */
 constexpr std::array<const char*, 7> kCommonFields = {"time", "level", "program", "component",
                                                       "node", "zone",  "event"};
 
-/** Reads "2026-01-02T03:04:05.678Z". */
+/** Parses an RFC 3339 time in UTC such as "2026-01-02T03:04:05.678Z". */
 std::optional<std::int64_t> parseTime(const std::string& text) {
   std::tm parts{};
   std::istringstream input(text);
@@ -26,7 +26,7 @@
   if (input.fail() || point != '.' || text.size() != kTimeSize) {
     return std::nullopt;
   }
-  return static_cast<std::int64_t>(timegm(&parts)) * kMillisecondsInSecond + milliseconds;
+  return static_cast<std::int64_t>(timegm(&parts)) * kMillisecondsPerSecond + milliseconds;
 }
 
 }  // namespace
@@ -74,12 +74,12 @@
 }
 
 std::string formatTimeOfDay(std::int64_t time_ms) {
-  const auto whole_seconds = static_cast<std::time_t>(time_ms / kMillisecondsInSecond);
+  const auto whole_seconds = static_cast<std::time_t>(time_ms / kMillisecondsPerSecond);
   std::tm parts{};
   gmtime_r(&whole_seconds, &parts);
   std::ostringstream text;
   text << std::put_time(&parts, "%H:%M:%S") << '.' << std::setw(3) << std::setfill('0')
-       << time_ms % kMillisecondsInSecond;
+       << time_ms % kMillisecondsPerSecond;
   return text.str();
 }
 
--- a/src/explain/log_line.h
+++ b/src/explain/log_line.h
@@ -6,32 +6,32 @@
 #include <string>
 #include <vector>
 
-/** Reads the log lines of balancers back, to explain afterwards what became of a flow. */
+/** Parses the log lines of balancers, to reconstruct the course of a flow. */
 namespace lugfork {
 
-/** One line that a balancer wrote. */
+/** One log line of a balancer. */
 struct LogLine {
-  /** By the clock of the node that wrote it [ms since 1970]. */
+  /** Time by the clock of the node that wrote the line [ms since 1970]. */
   std::int64_t time_ms = 0;
   std::string node;
   std::string event;
-  /** What the event tells besides, in the order of the line. */
+  /** Fields of the event without those common to all lines, in the order of the line. */
   nlohmann::ordered_json fields;
 
-  /** @return the field as text, empty where there is none. */
+  /** @return the field as text, empty if it is missing. */
   std::string text(const char* field) const;
-  /** @return the field as a number, nothing where there is none. */
+  /** @return the field as a number, nothing if it is missing or no unsigned integer. */
   std::optional<std::uint64_t> number(const char* field) const;
 };
 
 /**
- * Reads one line of text; what stands before the first brace is passed over, since collectors of
- * logs put a time or a name there.
- * @return nothing where the text is no line of a balancer.
+ * Parses one line of text. Text before the first brace is ignored, since log collectors prefix
+ * lines with a time or a name.
+ * @return nothing if the text is not a log line of a balancer.
  */
 std::optional<LogLine> parseLogLine(const std::string& text);
 
-/** @return the time as RFC 3339 writes it, without the date. */
+/** @return the UTC time of day in RFC 3339 format, "hh:mm:ss.sss". */
 std::string formatTimeOfDay(std::int64_t time_ms);
 
 }  // namespace lugfork
--- a/src/explain/timeline.cc
+++ b/src/explain/timeline.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Events of a node that bear on every flow it handles. */
+/** Events of a node that affect every flow it handles. */
 const std::set<std::string> kNodeEvents = {"started",
                                            "stopped",
                                            "leaving",
@@ -24,18 +24,18 @@
                                            "zones_out_of_reach",
                                            "evidence_left_out"};
 
-/** Back ends, by whichever of their two names a line gives. */
+/** Set of backends; log lines identify a backend by name, by id or by both. */
 struct BackendNames {
   std::set<std::string> names;
   std::set<std::uint64_t> ids;
 
   bool contains(const LogLine& line) const {
     const auto id = line.number("backend_id");
-    return (id && ids.contains(*id)) || names.contains(line.text("backend")) || isInSnapshot(line);
+    return (id && ids.contains(*id)) || names.contains(line.text("backend")) || isListed(line);
   }
 
-  /** A line of a snapshot or of many changes lists back ends as "name=state name=state ...". */
-  bool isInSnapshot(const LogLine& line) const {
+  /** Lines of a snapshot or of many changes list backends as "name=state name=state ...". */
+  bool isListed(const LogLine& line) const {
     if (line.event != "backend_snapshot" && line.event != "backend_states") {
       return false;
     }
@@ -62,44 +62,44 @@
   return !flow.empty() && (name == flow || name.starts_with(flow + ">"));
 }
 
-/** Chooses lines; corrected times stand beside them. */
-class Picker {
+/** Selects the lines that match a query and corrects their times by the clock skew. */
+class LineSelector {
  public:
-  Picker(const std::vector<LogLine>& lines, const TimelineQuery& question, const ClockSkew& skew)
-      : lines_(lines), question_(question), skew_(skew) {
-    findSubject();
+  LineSelector(const std::vector<LogLine>& lines, const TimelineQuery& query, const ClockSkew& skew)
+      : lines_(lines), query_(query), skew_(skew) {
+    collectSubjects();
   }
 
-  std::vector<TimelineEntry> pick() const {
-    std::vector<TimelineEntry> picked;
+  std::vector<TimelineEntry> select() const {
+    std::vector<TimelineEntry> selected;
     for (const LogLine& line : lines_) {
       const std::int64_t time_ms = timeOf(line);
-      if (belongs(line, time_ms)) {
-        picked.push_back({line, time_ms, {}, time_ms});
+      if (isSelected(line, time_ms)) {
+        selected.push_back({line, time_ms, {}, time_ms});
       }
     }
     const auto is_earlier = [](const TimelineEntry& left, const TimelineEntry& right) {
       return left.time_ms < right.time_ms;
     };
-    std::stable_sort(picked.begin(), picked.end(), is_earlier);
-    return picked;
+    std::stable_sort(selected.begin(), selected.end(), is_earlier);
+    return selected;
   }
 
  private:
   std::int64_t timeOf(const LogLine& line) const { return line.time_ms - skew_.ofNode(line.node); }
 
-  void findSubject() {
-    if (!question_.backend.empty()) {
-      backends_.names.insert(question_.backend);
+  void collectSubjects() {
+    if (!query_.backend.empty()) {
+      backends_.names.insert(query_.backend);
     }
     for (const LogLine& line : lines_) {
       const std::string id = line.text("backend_id");
-      const bool is_asked = !question_.backend.empty() &&
-                            (line.text("backend") == question_.backend || id == question_.backend);
-      if (is_asked) {
+      const bool is_requested = !query_.backend.empty() &&
+                                (line.text("backend") == query_.backend || id == query_.backend);
+      if (is_requested) {
         backends_.add(line);
       }
-      if (isOfFlow(line, question_.flow)) {
+      if (isOfFlow(line, query_.flow)) {
         addFlowLine(line);
       }
     }
@@ -108,18 +108,18 @@
   void addFlowLine(const LogLine& line) {
     backends_.add(line);
     nodes_.insert(line.node);
-    from_ms_ = std::min(from_ms_, timeOf(line) - question_.around_ms);
-    until_ms_ = std::max(until_ms_, timeOf(line) + question_.around_ms);
+    from_ms_ = std::min(from_ms_, timeOf(line) - query_.around_ms);
+    until_ms_ = std::max(until_ms_, timeOf(line) + query_.around_ms);
   }
 
-  bool belongs(const LogLine& line, std::int64_t time_ms) const {
-    if (isOfFlow(line, question_.flow)) {
+  bool isSelected(const LogLine& line, std::int64_t time_ms) const {
+    if (isOfFlow(line, query_.flow)) {
       return true;
     }
-    const bool asks_for_flow = !question_.flow.empty();
-    const bool in_time = !asks_for_flow || (time_ms >= from_ms_ && time_ms <= until_ms_);
-    const bool of_other_flow = line.fields.contains("flow");
-    if (!in_time || of_other_flow) {
+    const bool has_flow_query = !query_.flow.empty();
+    const bool is_in_window = !has_flow_query || (time_ms >= from_ms_ && time_ms <= until_ms_);
+    const bool is_of_other_flow = line.fields.contains("flow");
+    if (!is_in_window || is_of_other_flow) {
       return false;
     }
     return backends_.contains(line) ||
@@ -127,7 +127,7 @@
   }
 
   const std::vector<LogLine>& lines_;
-  const TimelineQuery& question_;
+  const TimelineQuery& query_;
   const ClockSkew& skew_;
   BackendNames backends_;
   std::set<std::string> nodes_;
@@ -135,18 +135,18 @@
   std::int64_t until_ms_ = std::numeric_limits<std::int64_t>::min();
 };
 
-/** Lines of several nodes that tell the same change of the platform count once. */
-std::vector<TimelineEntry> mergeSameNews(const std::vector<TimelineEntry>& lines) {
+/** Merges lines in which several nodes report the same state change of a backend. */
+std::vector<TimelineEntry> mergeDuplicateReports(const std::vector<TimelineEntry>& lines) {
   std::vector<TimelineEntry> merged;
-  std::map<std::tuple<std::string, std::string, std::uint64_t>, std::size_t> known;
+  std::map<std::tuple<std::string, std::string, std::uint64_t>, std::size_t> index_by_change;
   for (const TimelineEntry& line : lines) {
     const auto revision = line.line.number("revision");
-    const bool is_news = line.line.event == "backend_state" && revision;
-    if (!is_news) {
+    const bool is_state_change = line.line.event == "backend_state" && revision;
+    if (!is_state_change) {
       merged.push_back(line);
       continue;
     }
-    const auto [entry, is_first] = known.try_emplace(
+    const auto [entry, is_first] = index_by_change.try_emplace(
         {line.line.text("backend"), line.line.text("state"), *revision}, merged.size());
     if (is_first) {
       merged.push_back(line);
@@ -161,14 +161,14 @@
 
 }  // namespace
 
-Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& question) {
+Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& query) {
   const ClockSkew skew(lines);
-  Timeline story;
-  story.lines = mergeSameNews(Picker(lines, question, skew).pick());
+  Timeline timeline;
+  timeline.lines = mergeDuplicateReports(LineSelector(lines, query, skew).select());
   for (const std::string& node : skew.nodesWithSkew()) {
-    story.skewed_clocks[node] = skew.ofNode(node);
+    timeline.skewed_clocks[node] = skew.ofNode(node);
   }
-  return story;
+  return timeline;
 }
 
 }  // namespace lugfork
--- a/src/explain/timeline.h
+++ b/src/explain/timeline.h
@@ -6,38 +6,39 @@
 
 namespace lugfork {
 
-/** What to explain: a flow by its caller, or a back end. */
+/** Subject of a timeline: a flow, identified by its client, or a backend. */
 struct TimelineQuery {
-  /** "a.b.c.d:port" of the caller, or "caller>service"; empty for no flow. */
+  /** "a.b.c.d:port" of the client, or "client>service"; empty for no flow. */
   std::string flow;
-  /** Name or id of a back end; empty for none. */
+  /** Name or id of a backend; empty for none. */
   std::string backend;
-  /** Time around the flow's own lines from which others are told [ms]. */
+  /** Time around the flow's own lines from which other lines are included [ms]. */
   std::int64_t around_ms = 10000;
 };
 
-/** One line of a story; several nodes that told the same count once. */
+/** One entry of a timeline; lines of several nodes about the same change form one entry. */
 struct TimelineEntry {
   LogLine line;
-  /** The line's time, corrected for the node's clock [ms]. */
+  /** Time of the line, corrected for the node's clock skew [ms since 1970]. */
   std::int64_t time_ms = 0;
-  /** Further nodes that told the same, and when the last of them did. */
+  /** Further nodes that report the same change. */
   std::set<std::string> other_nodes;
+  /** Corrected time of the last report [ms since 1970]. */
   std::int64_t last_time_ms = 0;
 };
 
 struct Timeline {
   /** In the order of time. */
   std::vector<TimelineEntry> lines;
-  /** Nodes whose clocks are off, with by how much [ms]. */
+  /** Nodes with clock skew, and how far their clocks are ahead [ms]. */
   std::map<std::string, std::int64_t> skewed_clocks;
 };
 
 /**
- * Picks the lines that touch a flow, the back ends that it went to and the nodes that handled it,
- * over all nodes.
+ * Builds the timeline of a flow or a backend from the log lines of all nodes. The timeline of a
+ * flow includes lines about its backends and about the nodes that handled it.
  * @param lines of all nodes, those of one node in the order in which it wrote them.
  */
-Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& question);
+Timeline buildTimeline(const std::vector<LogLine>& lines, const TimelineQuery& query);
 
 }  // namespace lugfork
--- a/tests/client/caller_flow_test.cc
+++ b/tests/client/caller_flow_test.cc
@@ -38,12 +38,12 @@
   void reset(std::uint8_t attempt = 0) {
     flow.onDatagram(Reset{{kFlow, attempt}, Reason::BackendGone, 100});
   }
-  void pass(Duration duration) {
+  void advance(Duration duration) {
     time.elapsed += duration;
     flow.onTick();
   }
 
-  /** @return how many datagrams of that type were sent under the attempt. */
+  /** @return number of datagrams of this type sent for the attempt. */
   template <typename Body>
   std::size_t count(std::uint8_t attempt = 0) const {
     return static_cast<std::size_t>(
@@ -70,11 +70,11 @@
   }
 };
 
-TEST_CASE("one attempt uses one token: a second placement is ignored") {
+TEST_CASE("second placement of an attempt is ignored, so that one attempt uses one token") {
   CallHarness call;
   call.placed(0, kToken);
   call.placed(0, kOtherToken);
-  call.pass(milliseconds(300));
+  call.advance(milliseconds(300));
   REQUIRE(call.count<Data>() == 2);
   for (const Datagram& datagram : call.sent) {
     const Data* data = std::get_if<Data>(&datagram);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("answers are delivered whole, in order and once, however they arrive") {
+TEST_CASE("answer pieces are delivered in order and once, whatever their order of arrival") {
   struct Row {
     const char* name;
     std::vector<std::uint32_t> arrivals;
@@ -90,7 +90,7 @@
   const Row rows[] = {{"in order", {0, 1, 2}},
                       {"reversed", {2, 1, 0}},
                       {"each twice", {0, 0, 1, 1, 2, 2}},
-                      {"end first, then duplicates", {2, 2, 0, 0, 1}}};
+                      {"last piece first, then duplicates", {2, 2, 0, 0, 1}}};
   for (const Row& row : rows) {
     INFO(row.name);
     CallHarness call;
@@ -106,28 +106,28 @@
   }
 }
 
-TEST_CASE("a duplicate of the last answer piece is confirmed again after the end") {
+TEST_CASE("duplicate of the last answer piece is acknowledged again after the call has ended") {
   CallHarness call;
   call.placed();
   call.answer(0, true);
-  const std::size_t confirmed = call.count<AnswerAck>();
+  const std::size_t acknowledged = call.count<AnswerAck>();
   call.answer(0, true);
-  CHECK(call.count<AnswerAck>() == confirmed + 1);
+  CHECK(call.count<AnswerAck>() == acknowledged + 1);
   CHECK(call.delivered.size() == 1);
 }
 
-TEST_CASE("only a refusal of the attempt itself ends an attempt that has sent its request") {
+TEST_CASE("attempt that has sent its request is ended only by a refusal of that attempt") {
   struct Row {
     const char* name;
     std::function<void(CallHarness&)> event;
     std::size_t opens_of_next_attempt;
   };
   const Row rows[] = {
-      {"late refusal of a resent Open, by a balancer that could not place",
+      {"late refusal of a retransmitted Open by a balancer without a placement",
        [](CallHarness& call) { call.refused(RefusalScope::Placement, 1); }, 0},
       {"refusal of another attempt",
        [](CallHarness& call) { call.refused(RefusalScope::Attempt, 1, 9); }, 0},
-      {"refusal by the back end", [](CallHarness& call) { call.refused(RefusalScope::Attempt, 1); },
+      {"refusal by the backend", [](CallHarness& call) { call.refused(RefusalScope::Attempt, 1); },
        1},
   };
   for (const Row& row : rows) {
@@ -135,13 +135,13 @@
     CallHarness call;
     call.placed();
     row.event(call);
-    call.pass(milliseconds(250));
+    call.advance(milliseconds(250));
     CHECK(call.count<Open>(1) == row.opens_of_next_attempt);
     CHECK_FALSE(call.flow.result());
   }
 }
 
-TEST_CASE("a replacement starts the next attempt at once, and old refusals are ignored") {
+TEST_CASE("replacement starts the next attempt at once, and earlier refusals are ignored") {
   CallHarness call;
   call.placed();
   call.refused(RefusalScope::Attempt, 500, 0, kOtherToken);
@@ -153,13 +153,13 @@
   CHECK(call.flow.result() == CallResult::Complete);
 }
 
-TEST_CASE("a request that may not be repeated ends as unknown when its flow breaks") {
+TEST_CASE("non-repeatable request ends as unknown when its flow breaks") {
   struct Row {
     const char* name;
     std::function<void(CallHarness&)> event;
   };
   const Row rows[] = {{"reset", [](CallHarness& call) { call.reset(); }},
-                      {"silence", [](CallHarness& call) { call.pass(seconds(4)); }}};
+                      {"silence", [](CallHarness& call) { call.advance(seconds(4)); }}};
   for (const Row& row : rows) {
     INFO(row.name);
     CallHarness call;
@@ -167,34 +167,34 @@
     row.event(call);
     CHECK(call.flow.result() == CallResult::Unknown);
     const std::size_t sent = call.sent.size();
-    call.pass(seconds(10));
+    call.advance(seconds(10));
     call.placed(1);
     CHECK(call.sent.size() == sent);
     CallHarness repeatable(true);
     repeatable.placed();
     row.event(repeatable);
-    repeatable.pass(seconds(1));
+    repeatable.advance(seconds(1));
     CHECK(repeatable.count<Open>(1) == 1);
   }
 }
 
-TEST_CASE("a refusal is final at once where its time to come back is after the deadline") {
+TEST_CASE("refused call ends at once if its retry time is after the deadline") {
   CallHarness call(true, seconds(2));
   call.refused(RefusalScope::Placement, 5000);
   CHECK(call.flow.result() == CallResult::NotRun);
   CHECK(call.flow.retryAfter() >= seconds(5));
 }
 
-TEST_CASE("no attempt begins before the time that the refusal gave") {
+TEST_CASE("next attempt starts no earlier than the refusal's retry time") {
   CallHarness call(true);
   call.refused(RefusalScope::Placement, 3000);
-  call.pass(milliseconds(2999));
+  call.advance(milliseconds(2999));
   CHECK(call.count<Open>(1) == 0);
-  call.pass(milliseconds(1));
+  call.advance(milliseconds(1));
   CHECK(call.count<Open>(1) == 1);
 }
 
-TEST_CASE("a call waits for the retry budget that it shares with others") {
+TEST_CASE("retry waits until the shared retry budget allows it") {
   CallHarness call(true);
   RetryBudget budget({0, 1, 1}, call.time);
   REQUIRE(budget.tryTake());
@@ -217,72 +217,72 @@
   CHECK(flow.key().attempt == 1);
 }
 
-TEST_CASE("a call that was never placed ends as not run, with a time to come back") {
+TEST_CASE("call without a placement ends as not run, with a retry time") {
   CallerSettings settings;
   settings.max_attempts = 1;
   CallHarness call(false, {}, 1, settings);
-  call.pass(seconds(11));
+  call.advance(seconds(11));
   CHECK(call.flow.result() == CallResult::NotRun);
   CHECK(call.flow.retryAfter() > Duration::zero());
 }
 
-TEST_CASE("no keepalive goes out before the back end knows the flow") {
+TEST_CASE("no keepalive is sent before the backend has answered the attempt") {
   CallHarness call;
   call.placed();
-  call.pass(milliseconds(600));
+  call.advance(milliseconds(600));
   CHECK(call.count<AnswerAck>() == 0);
   call.flow.onDatagram(DataAck{{kFlow, 0}, 1});
-  call.pass(milliseconds(1));
+  call.advance(milliseconds(1));
   CHECK(call.count<AnswerAck>() == 1);
 }
 
-TEST_CASE("a silent flow is probed often before it counts as lost") {
-  for (const bool confirmed : {false, true}) {
+TEST_CASE("silent flow is probed repeatedly before it counts as lost") {
+  for (const bool acknowledged : {false, true}) {
     CallHarness call;
     call.placed();
-    if (confirmed) {
+    if (acknowledged) {
       call.flow.onDatagram(DataAck{{kFlow, 0}, 1});
     }
     for (int tick = 0; tick < 29; ++tick) {
-      call.pass(milliseconds(100));
+      call.advance(milliseconds(100));
     }
-    CHECK((confirmed ? call.count<AnswerAck>() : call.count<Data>()) >= 20);
+    CHECK((acknowledged ? call.count<AnswerAck>() : call.count<Data>()) >= 20);
     CHECK_FALSE(call.flow.result());
-    call.pass(milliseconds(100));
+    call.advance(milliseconds(100));
     CHECK(call.flow.result() == CallResult::Unknown);
   }
 }
 
-TEST_CASE("a caller that stood still itself does not take its flow for lost") {
+TEST_CASE("client keeps its flow after a pause of its own process") {
   CallHarness call;
   call.placed();
-  call.pass(milliseconds(100));
-  call.pass(seconds(8));
+  call.advance(milliseconds(100));
+  call.advance(seconds(8));
   CHECK_FALSE(call.flow.result());
   call.answer(0, true);
   CHECK(call.flow.result() == CallResult::Complete);
 }
 
-TEST_CASE("cancellation and the deadline tell the back end, and never change a result") {
+TEST_CASE("cancellation and deadline send a Cancel to the backend and never change a result") {
   CallHarness cancelled;
   cancelled.placed();
   cancelled.flow.cancel();
   CHECK(cancelled.count<Cancel>() == 1);
   CHECK(cancelled.flow.result() == CallResult::DeadlineExceeded);
 
-  CallHarness late(false, seconds(1));
-  late.placed();
-  CHECK(std::get<Data>(late.sent.back()).deadline_ms == 1000);
-  late.pass(seconds(1));
-  CHECK(late.count<Cancel>() == 1);
-  CHECK(late.flow.result() == CallResult::DeadlineExceeded);
+  CallHarness expired(false, seconds(1));
+  expired.placed();
+  CHECK(std::get<Data>(expired.sent.back()).deadline_ms == 1000);
+  expired.advance(seconds(1));
+  CHECK(expired.count<Cancel>() == 1);
+  CHECK(expired.flow.result() == CallResult::DeadlineExceeded);
 
-  CallHarness whole;
-  whole.placed();
-  whole.answer(0, true);
-  whole.flow.cancel();
-  CHECK(whole.flow.result() == CallResult::Complete);
-  CHECK(whole.count<Cancel>() == 0);
+  CallHarness complete;
+  complete.placed();
+  complete.answer(0, true);
+  complete.flow.cancel();
+  CHECK(complete.flow.result() == CallResult::Complete);
+  CHECK(complete.count<Cancel>() == 0);
 }
 
 }  // namespace
--- a/tests/common/rate_limited_event_log_test.cc
+++ b/tests/common/rate_limited_event_log_test.cc
@@ -14,7 +14,7 @@
   MonotonicTime now;
 };
 
-/** Keeps "component/event", and for lines of counts what they count. */
+/** Records "component/event"; for log_lines_left_out also the event and the number of lines. */
 class RecordedLog : public EventLog {
  public:
   void write(LogLevel, std::string_view component, std::string_view event,
@@ -27,26 +27,26 @@
     lines.push_back(line);
   }
 
-  bool wouldWrite(LogLevel, std::string_view, std::string_view) override { return !drops; }
+  bool wouldWrite(LogLevel, std::string_view, std::string_view) override { return !is_disabled; }
 
   std::vector<std::string> lines;
-  bool drops = false;
+  bool is_disabled = false;
 };
 
-struct BoundedLogFixture {
+struct RateLimitedLogFixture {
   ManualTime time;
   RecordedLog recorded;
   RateLimitedEventLog log{recorded, LogLimits{10, 3}, time};
 
-  void write(const std::string& component, const std::string& event, int times = 1) {
-    for (int count = 0; count < times; ++count) {
+  void write(const std::string& component, const std::string& event, int line_count = 1) {
+    for (int line = 0; line < line_count; ++line) {
       log.write(LogLevel::Info, component, event, {});
     }
   }
 };
 
-TEST_CASE("a storm of one event hides no other event of its component", "[log]") {
-  BoundedLogFixture fixture;
+TEST_CASE("burst of one event does not suppress other events of its component", "[log]") {
+  RateLimitedLogFixture fixture;
   fixture.write("flow", "flow_placed", 50);
   CHECK(fixture.recorded.lines == std::vector<std::string>(3, "flow/flow_placed"));
   CHECK(fixture.log.suppressed() == 47);
@@ -56,8 +56,9 @@
   CHECK(fixture.recorded.lines == std::vector<std::string>{"flow/flow_reset", "node/flow_placed"});
 }
 
-TEST_CASE("the next line of an event says how many of it were left out, once", "[log]") {
-  BoundedLogFixture fixture;
+TEST_CASE("number of suppressed lines is reported once, before the next line of the event",
+          "[log]") {
+  RateLimitedLogFixture fixture;
   fixture.write("flow", "flow_placed", 8);
   fixture.write("flow", "flow_reset", 4);
   fixture.recorded.lines.clear();
@@ -70,8 +71,8 @@
                                                            "flow/flow_placed", "flow/flow_placed"});
 }
 
-TEST_CASE("an event gets its rate, and after quiet its burst and no more", "[log]") {
-  BoundedLogFixture fixture;
+TEST_CASE("event is limited to its rate, and after a quiet period to its burst", "[log]") {
+  RateLimitedLogFixture fixture;
   fixture.write("flow", "flow_placed", 3);
   fixture.recorded.lines.clear();
   fixture.time.now += milliseconds(100);
@@ -83,35 +84,37 @@
   CHECK(fixture.recorded.lines.size() == 1 + 3);
 }
 
-TEST_CASE("who asks before a line is made hears what write would do", "[log]") {
-  BoundedLogFixture fixture;
-  const auto asks = [&] { return fixture.log.wouldWrite(LogLevel::Info, "flow", "flow_placed"); };
+TEST_CASE("wouldWrite returns whether write would pass the event on", "[log]") {
+  RateLimitedLogFixture fixture;
+  const auto is_accepted = [&] {
+    return fixture.log.wouldWrite(LogLevel::Info, "flow", "flow_placed");
+  };
   for (int line = 0; line < 3; ++line) {
-    CHECK(asks());
-    CHECK(asks());
+    CHECK(is_accepted());
+    CHECK(is_accepted());
     fixture.write("flow", "flow_placed");
   }
   CHECK(fixture.recorded.lines.size() == 3);
-  CHECK_FALSE(asks());
-  CHECK_FALSE(asks());
+  CHECK_FALSE(is_accepted());
+  CHECK_FALSE(is_accepted());
   CHECK(fixture.log.suppressed() == 2);
-  SECTION("what was not made counts as left out") {
+  SECTION("event that wouldWrite rejected counts as suppressed") {
     fixture.time.now += seconds(1);
-    CHECK(asks());
+    CHECK(is_accepted());
     fixture.write("flow", "flow_placed");
     CHECK(fixture.recorded.lines[3] == "flow/log_lines_left_out flow_placed 2");
   }
-  SECTION("a lower rate holds from then on") {
+  SECTION("lower rate applies from its change on") {
     fixture.log.setLinesPerSecond(1);
     fixture.time.now += milliseconds(500);
-    CHECK_FALSE(asks());
+    CHECK_FALSE(is_accepted());
     fixture.time.now += milliseconds(500);
-    CHECK(asks());
+    CHECK(is_accepted());
   }
-  SECTION("what the next log would drop is not made either") {
-    fixture.recorded.drops = true;
+  SECTION("event that the next log would discard is rejected") {
+    fixture.recorded.is_disabled = true;
     fixture.time.now += seconds(1);
-    CHECK_FALSE(asks());
+    CHECK_FALSE(is_accepted());
     CHECK(fixture.log.suppressed() == 2);
   }
 }
