--- a/src/programs/ctl_declare.cc
+++ b/src/programs/ctl_declare.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** Other operators may publish between our read and our write this often. */
-constexpr int kDrainAttempts = 5;
+/** Maximum number of attempts to drain if other operators publish between read and write. */
+constexpr int kMaxDrainAttempts = 5;
 
 struct DeclareSettings {
   std::string file;
@@ -30,7 +30,7 @@
   return kExitFailure;
 }
 
-/** Reads and checks the file; prints every problem of an invalid one. */
+/** Reads and validates a file; prints all problems of an invalid one. */
 std::optional<Configuration> readDocument(const std::string& path) {
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
@@ -52,7 +52,7 @@
   return kExitSuccess;
 }
 
-int waitFor(const DeclareSettings& settings, ConfigVersion version) {
+int waitForVersion(const DeclareSettings& settings, ConfigVersion version) {
   WaitSettings wait = settings.wait_settings;
   if (wait.nodes.empty()) {
     const auto nodes = readNodeAddresses(settings.platform);
@@ -64,15 +64,15 @@
   return waitUntilInForce(wait, version) ? kExitSuccess : kExitFailure;
 }
 
-/** Says what another operator published between our read and our write. */
-int reportConflict(const DeclareSettings& settings, const Configuration& read_before) {
-  const auto now = readPlatformConfiguration(settings.platform);
-  if (!now) {
-    return fail("conflict, and " + now.error().message);
+/** Prints the changes that another operator published between read and write. */
+int reportConflict(const DeclareSettings& settings, const Configuration& previous) {
+  const auto current = readPlatformConfiguration(settings.platform);
+  if (!current) {
+    return fail("conflict; reading the published version failed: " + current.error().message);
   }
-  std::cerr << "conflict: the platform moved from version " << read_before.version.value() << " to "
-            << now.value().version.value() << " meanwhile; nothing was published:\n"
-            << describeChanges(diffConfigurations(read_before, now.value()));
+  std::cerr << "conflict: the platform changed from version " << previous.version.value() << " to "
+            << current.value().version.value() << " in the meantime; nothing was published:\n"
+            << describeChanges(diffConfigurations(previous, current.value()));
   return kExitFailure;
 }
 
@@ -85,13 +85,13 @@
   if (!current) {
     return fail(current.error().message);
   }
-  const std::uint64_t held = current.value().version.value();
-  std::cout << "version " << held << " -> " << declared->version.value() << '\n'
+  const std::uint64_t current_version = current.value().version.value();
+  std::cout << "version " << current_version << " -> " << declared->version.value() << '\n'
             << describeChanges(diffConfigurations(current.value(), *declared)) << std::flush;
-  if (declared->version.value() != held + 1) {
-    return fail("conflict: the platform holds version " + std::to_string(held) +
-                ", so the document must have version " + std::to_string(held + 1) +
-                "; the changes above are against what the platform holds");
+  if (declared->version.value() != current_version + 1) {
+    return fail("conflict: the platform holds version " + std::to_string(current_version) +
+                ", so the document must have version " + std::to_string(current_version + 1) +
+                "; the changes above are relative to the platform's version");
   }
   if (settings.dry_run) {
     std::cout << "dry run: nothing was published\n";
@@ -105,10 +105,10 @@
     return reportConflict(settings, current.value());
   }
   std::cout << "version " << declared->version.value() << " published" << std::endl;
-  return settings.wait ? waitFor(settings, declared->version) : kExitSuccess;
+  return settings.wait ? waitForVersion(settings, declared->version) : kExitSuccess;
 }
 
-/** @return the back end of that name, or nullptr. */
+/** @return the backend with this name, or nullptr. */
 Backend* findBackend(Configuration& configuration, const std::string& name) {
   const auto found = std::find_if(configuration.backends.begin(), configuration.backends.end(),
                                   [&](const Backend& backend) { return backend.name == name; });
@@ -116,7 +116,7 @@
 }
 
 int drain(const DeclareSettings& settings) {
-  for (int attempt = 0; attempt < kDrainAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kMaxDrainAttempts; ++attempt) {
     const auto current = readPlatformConfiguration(settings.platform);
     if (!current) {
       return fail(current.error().message);
@@ -124,11 +124,11 @@
     Configuration next = current.value();
     Backend* const backend = findBackend(next, settings.backend);
     if (backend == nullptr) {
-      return fail("no back end is named \"" + settings.backend + "\"");
+      return fail("there is no backend named \"" + settings.backend + "\"");
     }
     if (backend->draining != settings.undo) {
       std::cout << "already so in version " << next.version.value() << std::endl;
-      return settings.wait ? waitFor(settings, next.version) : kExitSuccess;
+      return settings.wait ? waitForVersion(settings, next.version) : kExitSuccess;
     }
     backend->draining = !settings.undo;
     next.version = ConfigVersion(next.version.value() + 1);
@@ -139,26 +139,27 @@
     if (outcome.value() == PublishOutcome::Published) {
       std::cout << describeChanges(diffConfigurations(current.value(), next)) << "version "
                 << next.version.value() << " published" << std::endl;
-      return settings.wait ? waitFor(settings, next.version) : kExitSuccess;
+      return settings.wait ? waitForVersion(settings, next.version) : kExitSuccess;
     }
   }
-  return fail("conflict: others kept publishing; nothing was changed");
+  return fail("conflict: other operators published at each attempt; nothing was changed");
 }
 
 void addWaitOptions(CLI::App& command, DeclareSettings& settings) {
-  addEndpointOption(command, "--platform", settings.platform, "platform's configuration service")
+  addEndpointOption(command, "--platform", settings.platform,
+                    "address of the platform's configuration service")
       ->required();
-  command.add_flag("--wait", settings.wait, "wait until it is in force on the nodes");
+  command.add_flag("--wait", settings.wait, "wait until the version is in force on the nodes");
   addEndpointListOption(command, "--node", settings.wait_settings.nodes,
-                        "API addresses of the nodes to wait for; all on the platform's list "
-                        "unless given");
+                        "API addresses of the nodes to wait for; default: all nodes on "
+                        "the platform's list");
   addMillisecondsOption(command, "--wait-limit", settings.wait_settings.timeout, milliseconds(1),
-                        milliseconds(3600000), "longest wait");
+                        milliseconds(3600000), "maximum time to wait");
   addTokenOption(command, settings.wait_settings.token);
 }
 
 void addFileOption(CLI::App& command, DeclareSettings& settings) {
-  command.add_option("-f,--file", settings.file, "document (JSON)")
+  command.add_option("-f,--file", settings.file, "configuration document (JSON)")
       ->required()
       ->check(CLI::ExistingFile);
 }
@@ -172,22 +173,24 @@
 
 void addDeclareCommands(CLI::App& app, CommandBody& run) {
   const auto settings = std::make_shared<DeclareSettings>();
-  CLI::App* validate_command = app.add_subcommand("validate", "checks a configuration document");
+  CLI::App* validate_command = app.add_subcommand("validate", "validates a configuration document");
   addFileOption(*validate_command, *settings);
   validate_command->callback(
       [&run, settings] { run = [settings] { return validate(*settings); }; });
 
-  CLI::App* apply_command =
-      app.add_subcommand("apply", "shows what a document changes and publishes it");
+  CLI::App* apply_command = app.add_subcommand(
+      "apply", "prints the changes made by a configuration document and publishes it");
   addFileOption(*apply_command, *settings);
   addWaitOptions(*apply_command, *settings);
-  apply_command->add_flag("--dry-run", settings->dry_run, "only show what would change");
+  apply_command->add_flag("--dry-run", settings->dry_run,
+                          "print the changes without publishing them");
   apply_command->callback([&run, settings] { run = [settings] { return apply(*settings); }; });
 
-  CLI::App* drain_command = app.add_subcommand(
-      "drain", "publishes that a back end is leaving: it keeps its flows and gets no new ones");
-  drain_command->add_option("backend", settings->backend, "name of the back end")->required();
-  drain_command->add_flag("--undo", settings->undo, "let it get new flows again");
+  CLI::App* drain_command =
+      app.add_subcommand("drain", "drains a backend: it keeps its flows and receives no new ones");
+  drain_command->add_option("backend", settings->backend, "name of the backend")->required();
+  drain_command->add_flag("--undo", settings->undo,
+                          "end draining, so that the backend receives new flows again");
   addWaitOptions(*drain_command, *settings);
   drain_command->callback([&run, settings] { run = [settings] { return drain(*settings); }; });
 }
--- a/src/programs/ctl_explain.cc
+++ b/src/programs/ctl_explain.cc
@@ -11,7 +11,7 @@
 namespace {
 
 struct ExplainSettings {
-  TimelineQuery question;
+  TimelineQuery query;
   std::vector<std::string> files;
 };
 
@@ -24,7 +24,7 @@
   }
 }
 
-/** @throws std::runtime_error where a file can't be read. */
+/** @throws std::runtime_error if a file can't be read. */
 std::vector<LogLine> readLogs(const std::vector<std::string>& files) {
   std::vector<LogLine> lines;
   if (files.empty()) {
@@ -33,7 +33,7 @@
   for (const std::string& name : files) {
     std::ifstream file(name);
     if (!file) {
-      throw std::runtime_error(name + " can't be read");
+      throw std::runtime_error(name + ": can't be read");
     }
     readLines(file, lines);
   }
@@ -53,13 +53,13 @@
   return details;
 }
 
-void printStory(const Timeline& story) {
-  for (const auto& [node, skew_ms] : story.skewed_clocks) {
-    std::cout << "clock of " << node << " is off by " << skew_ms
+void printTimeline(const Timeline& timeline) {
+  for (const auto& [node, skew_ms] : timeline.skewed_clocks) {
+    std::cout << "clock of " << node << " is skewed by " << skew_ms
               << " ms; its times are corrected\n";
   }
   std::vector<std::vector<std::string>> rows = {{"TIME", "NODE", "EVENT", "DETAILS"}};
-  for (const TimelineEntry& line : story.lines) {
+  for (const TimelineEntry& line : timeline.lines) {
     rows.push_back(
         {formatTimeOfDay(line.time_ms), line.line.node, line.line.event, detailsOf(line)});
   }
@@ -68,12 +68,12 @@
 
 int explain(const ExplainSettings& settings) {
   const std::vector<LogLine> lines = readLogs(settings.files);
-  const Timeline story = buildTimeline(lines, settings.question);
-  if (story.lines.empty()) {
-    std::cerr << "none of " << lines.size() << " log lines tells of it\n";
+  const Timeline timeline = buildTimeline(lines, settings.query);
+  if (timeline.lines.empty()) {
+    std::cerr << "none of " << lines.size() << " log lines matches the query\n";
     return kExitFailure;
   }
-  printStory(story);
+  printTimeline(timeline);
   return kExitSuccess;
 }
 
@@ -82,21 +82,22 @@
 void addExplainCommand(CLI::App& app, CommandBody& run) {
   const auto settings = std::make_shared<ExplainSettings>();
   CLI::App* command = app.add_subcommand(
-      "explain", "tells the story of one flow or back end from the logs of all nodes");
-  CLI::Option* flow = command->add_option("--flow", settings->question.flow,
-                                          "caller's address:port, or caller>service");
+      "explain", "prints the timeline of one flow or backend from the logs of all nodes");
+  CLI::Option* flow = command->add_option("--flow", settings->query.flow,
+                                          "client's address:port, or client>service");
   CLI::Option* backend =
-      command->add_option("--backend", settings->question.backend, "name or id of a back end");
+      command->add_option("--backend", settings->query.backend, "name or id of a backend");
   flow->excludes(backend);
   command
-      ->add_option("--around-ms", settings->question.around_ms,
-                   "time around the flow's own lines from which others are told [ms]")
+      ->add_option(
+          "--around-ms", settings->query.around_ms,
+          "time before and after the flow's own lines from which other lines are included [ms]")
       ->check(CLI::Range(0, 3600000))
       ->capture_default_str();
-  command->add_option("files", settings->files, "log files; standard input without any");
+  command->add_option("files", settings->files, "log files; standard input if none is given");
   command->callback([&run, settings, flow, backend] {
     if (flow->empty() && backend->empty()) {
-      throw CLI::ValidationError("explain", "--flow or --backend is needed");
+      throw CLI::ValidationError("explain", "one of --flow and --backend is required");
     }
     run = [settings] { return explain(*settings); };
   });
--- a/src/programs/ctl_keys.cc
+++ b/src/programs/ctl_keys.cc
@@ -31,11 +31,11 @@
 }  // namespace
 
 void addKeyCommands(CLI::App& app, CommandBody& run) {
-  CLI::App* command = app.add_subcommand("generate-key", "prints a fresh random key");
+  CLI::App* command = app.add_subcommand("generate-key", "generates a random key and prints it");
   command->require_subcommand(1);
-  command->add_subcommand("peer", "key pair of the fleet, as lines of a settings file")
+  command->add_subcommand("peer", "key pair of the fleet, in the format of the settings file")
       ->callback([&run] { run = printPeerKeys; });
-  command->add_subcommand("token", "secret of a token key for the configuration document")
+  command->add_subcommand("token", "secret for a token key of the configuration document")
       ->callback([&run] { run = printTokenSecret; });
 }
 
--- a/src/programs/ctl_platform.cc
+++ b/src/programs/ctl_platform.cc
@@ -34,7 +34,7 @@
   return reply.value().body;
 }
 
-/** @return the version in force at a node, or why it is not known. */
+/** @return the version in force at a node, or the reason why it is unknown. */
 Result<ConfigVersion, std::string> versionInForce(Endpoint node, const std::string& token) {
   HttpCall call;
   call.server = node;
@@ -60,7 +60,7 @@
   }
   auto parsed = parseConfigurationDocument(body.value());
   if (!parsed) {
-    return PlatformError{"the platform's document is not valid: " +
+    return PlatformError{"the platform's configuration document is invalid: " +
                          describeProblems(parsed.error())};
   }
   return std::move(parsed.value());
@@ -105,8 +105,8 @@
 
 bool waitUntilInForce(const WaitSettings& settings, ConfigVersion version) {
   const RealTimeSource clock;
-  const MonotonicTime limit = clock.monotonicTime() + settings.timeout;
-  std::vector<Endpoint> behind = settings.nodes;
+  const MonotonicTime deadline = clock.monotonicTime() + settings.timeout;
+  std::vector<Endpoint> pending = settings.nodes;
   const auto is_current = [&](Endpoint node) {
     const auto in_force = versionInForce(node, settings.token);
     const bool current = in_force && in_force.value() >= version;
@@ -115,12 +115,12 @@
     }
     return current;
   };
-  std::erase_if(behind, is_current);
-  while (!behind.empty() && clock.monotonicTime() < limit) {
+  std::erase_if(pending, is_current);
+  while (!pending.empty() && clock.monotonicTime() < deadline) {
     std::this_thread::sleep_for(kWaitPollInterval);
-    std::erase_if(behind, is_current);
+    std::erase_if(pending, is_current);
   }
-  for (const Endpoint node : behind) {
+  for (const Endpoint node : pending) {
     const auto in_force = versionInForce(node, settings.token);
     std::cerr << "behind: " << toString(node) << " ("
               << (in_force ? "version " + std::to_string(in_force.value().value())
@@ -128,9 +128,9 @@
               << ")\n";
   }
   std::cout << "version " << version.value() << " is in force on "
-            << settings.nodes.size() - behind.size() << " of " << settings.nodes.size()
+            << settings.nodes.size() - pending.size() << " of " << settings.nodes.size()
             << " nodes\n";
-  return behind.empty();
+  return pending.empty();
 }
 
 }  // namespace lugfork
--- a/src/programs/ctl_platform.h
+++ b/src/programs/ctl_platform.h
@@ -8,35 +8,39 @@
 #include "common/time_source.h"
 #include "config/configuration_document.h"
 
-/** What lugforkctl does at the platform's configuration service. */
+/** Access of lugforkctl to the platform's configuration service. */
 namespace lugfork {
 
-/** Words on why the platform did not do what was asked. */
+/** Failure of a request to the platform, as text for the operator. */
 struct PlatformError {
   std::string message;
 };
 
-/** What became of a publication. */
+/** Outcome of a publication. */
 enum class PublishOutcome { Published, Conflict };
 
-/** @return the document that the platform holds. */
+/** @return the configuration currently held by the platform. */
 Result<Configuration, PlatformError> readPlatformConfiguration(Endpoint platform);
 
-/** Publishes a document if the platform still holds the version before it. */
+/** Publishes a configuration if the platform still holds the preceding version. */
 Result<PublishOutcome, PlatformError> publishConfiguration(Endpoint platform,
                                                            const Configuration& configuration);
 
-/** @return the API addresses of all balancers on the platform's list. */
+/** @return the API addresses of all balancers on the platform's machine list. */
 Result<std::vector<Endpoint>, PlatformError> readNodeAddresses(Endpoint platform);
 
-/** Whom to wait for, and how long. */
+/** Nodes to wait for, and the timeout. */
 struct WaitSettings {
   std::vector<Endpoint> nodes;
   Duration timeout = seconds(30);
   std::string token;
 };
 
-/** Prints each node as it gets there, and at the end who is behind. @return true if none is. */
+/**
+ * Waits until a version is in force on all nodes. Prints each node that reaches the version, and
+ * those still behind at the timeout.
+ * @return true if no node is behind.
+ */
 bool waitUntilInForce(const WaitSettings& settings, ConfigVersion version);
 
 }  // namespace lugfork
--- a/src/programs/ctl_read.cc
+++ b/src/programs/ctl_read.cc
@@ -14,7 +14,7 @@
 
 constexpr int kOk = 200;
 constexpr int kNotModified = 304;
-/** Longest wait of one watch at the node; the command asks again and again. */
+/** Maximum wait of one watch request at the node; the command repeats the request. */
 constexpr milliseconds kWatchTimeout{20000};
 
 struct ReadSettings {
@@ -26,13 +26,14 @@
   std::uint32_t count = 0;
 };
 
-/** What a node answered; a failure is printed already. */
-struct NodeAnswer {
+/** Response of a node; failures have been printed already. */
+struct NodeResponse {
   int status = 0;
   json document;
 };
 
-NodeAnswer ask(const ReadSettings& settings, const std::string& target, Duration timeout) {
+NodeResponse requestNode(const ReadSettings& settings, const std::string& target,
+                         Duration timeout) {
   HttpCall call;
   call.server = settings.node;
   call.target = target;
@@ -43,18 +44,18 @@
     std::cerr << toString(settings.node) << ": " << reply.error().message << '\n';
     return {};
   }
-  NodeAnswer answer{reply.value().status, json::parse(reply.value().body, nullptr, false)};
-  if (answer.status != kOk && answer.status != kNotModified) {
+  NodeResponse response{reply.value().status, json::parse(reply.value().body, nullptr, false)};
+  if (response.status != kOk && response.status != kNotModified) {
     std::cerr << toString(settings.node) << ": " << reply.value().body << '\n';
   }
-  return answer;
+  return response;
 }
 
 std::string cell(const json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/** Conditions as "TakesNewFlows=false(declared_draining)". */
+/** Formats conditions as "TakesNewFlows=false(declared_draining)". */
 std::string conditionsCell(const json& status) {
   std::string text;
   for (const json& condition : status.value("conditions", json::array())) {
@@ -64,7 +65,7 @@
   return text;
 }
 
-/** Columns of a resource: name, what is declared, and the conditions. */
+/** Formats resources as a table with name, declared fields and conditions. */
 std::string resourceTable(const json& items) {
   std::vector<std::vector<std::string>> rows;
   for (const json& item : items) {
@@ -109,24 +110,24 @@
 
 int get(const ReadSettings& settings, const std::string& resource) {
   const std::string name = settings.name.empty() ? "" : "/" + settings.name;
-  const NodeAnswer answer = ask(settings, "/v1/" + resource + name, seconds(5));
-  return answer.status == kOk ? print(settings, answer.document) : kExitFailure;
+  const NodeResponse response = requestNode(settings, "/v1/" + resource + name, seconds(5));
+  return response.status == kOk ? print(settings, response.document) : kExitFailure;
 }
 
-/** Prints the status now and at each new version in force. */
+/** Prints the current status, and again at each new version in force. */
 int watch(const ReadSettings& settings) {
   std::string target = "/v1/status";
   for (std::uint32_t printed = 0; settings.count == 0 || printed < settings.count;) {
-    const NodeAnswer answer = ask(settings, target, kWatchTimeout + seconds(5));
-    if (answer.status == kNotModified) {
+    const NodeResponse response = requestNode(settings, target, kWatchTimeout + seconds(5));
+    if (response.status == kNotModified) {
       continue;
     }
-    if (answer.status != kOk) {
+    if (response.status != kOk) {
       return kExitFailure;
     }
-    print(settings, answer.document);
+    print(settings, response.document);
     ++printed;
-    target = "/v1/status?watch_from=" + answer.document["version_in_force"].dump() +
+    target = "/v1/status?watch_from=" + response.document["version_in_force"].dump() +
              "&timeout_ms=" + std::to_string(kWatchTimeout.count());
   }
   return kExitSuccess;
@@ -135,8 +136,8 @@
 CLI::App* addReadCommand(CLI::App& app, ReadSettings& settings, const std::string& name,
                          const std::string& description) {
   CLI::App* command = app.add_subcommand(name, description);
-  addEndpointOption(*command, "--node", settings.node, "node's API address")->required();
-  command->add_option("-o,--output", settings.output, "table or json")
+  addEndpointOption(*command, "--node", settings.node, "API address of the node")->required();
+  command->add_option("-o,--output", settings.output, "output format: table or json")
       ->check(CLI::IsMember({"table", "json"}))
       ->capture_default_str();
   addTokenOption(*command, settings.token);
@@ -148,19 +149,21 @@
 void addReadCommands(CLI::App& app, CommandBody& run) {
   const auto settings = std::make_shared<ReadSettings>();
   CLI::App* get_command =
-      addReadCommand(app, *settings, "get", "prints resources: declared, and as a node sees them");
-  get_command->add_option("resource", settings->resource, "what to print")
+      addReadCommand(app, *settings, "get",
+                     "prints resources with their declared state and their state at a node");
+  get_command->add_option("resource", settings->resource, "kind of resource")
       ->check(CLI::IsMember({"configuration", "zones", "services", "backends", "nodes"}));
-  get_command->add_option("name", settings->name, "only the resource of this name");
+  get_command->add_option("name", settings->name, "print only the resource with this name");
   get_command->callback(
       [&run, settings] { run = [settings] { return get(*settings, settings->resource); }; });
 
-  CLI::App* status = addReadCommand(app, *settings, "status", "prints a node's status");
+  CLI::App* status = addReadCommand(app, *settings, "status", "prints the status of a node");
   status->callback([&run, settings] { run = [settings] { return get(*settings, "status"); }; });
 
-  CLI::App* watch_command =
-      addReadCommand(app, *settings, "watch", "prints a node's status now and at each new version");
-  watch_command->add_option("--count", settings->count, "prints in all; 0 for no end");
+  CLI::App* watch_command = addReadCommand(
+      app, *settings, "watch", "prints the status of a node now and at each new version");
+  watch_command->add_option("--count", settings->count,
+                            "number of status outputs; 0 for unlimited");
   watch_command->callback([&run, settings] { run = [settings] { return watch(*settings); }; });
 }
 
--- a/src/programs/ctl_request.cc
+++ b/src/programs/ctl_request.cc
@@ -63,13 +63,15 @@
 
 void addRequestCommand(CLI::App& app, CommandBody& run) {
   const auto settings = std::make_shared<RequestSettings>();
-  CLI::App* command = app.add_subcommand("request", "makes one call and prints how it ended");
-  addEndpointOption(*command, "--fabric", settings->fabric, "fabric or balancer (UDP)")->required();
-  addEndpointOption(*command, "--service", settings->service, "service address")->required();
-  command->add_option("--service-id", settings->service_id, "service id, to check the answer")
+  CLI::App* command = app.add_subcommand("request", "makes one call and prints its result");
+  addEndpointOption(*command, "--fabric", settings->fabric,
+                    "address of the fabric or a balancer (UDP)")
+      ->required();
+  addEndpointOption(*command, "--service", settings->service, "address of the service")->required();
+  command->add_option("--service-id", settings->service_id, "service id, to verify the answer")
       ->required();
   addMillisecondsOption(*command, "--deadline", settings->deadline, milliseconds(1),
-                        milliseconds(600000), "time for the call");
+                        milliseconds(600000), "time limit of the call");
   command->callback([&run, settings] { run = [settings] { return makeRequest(*settings); }; });
 }
 
--- a/src/programs/ctl_table.h
+++ b/src/programs/ctl_table.h
@@ -5,7 +5,7 @@
 
 namespace lugfork {
 
-/** @return rows as aligned columns; the first row is the heading. */
+/** @return the rows as text with aligned columns; the first row holds the headings. */
 std::string formatTable(const std::vector<std::vector<std::string>>& rows);
 
 }  // namespace lugfork
--- a/src/programs/lugfork_sim.cc
+++ b/src/programs/lugfork_sim.cc
@@ -1,10 +1,10 @@
-/** lugfork-sim: deterministic simulation of whole fleets. */
+/** lugfork-sim: deterministic simulation of fleets of balancers. */
 
 #include "programs/sim_commands.h"
 #include "runtime/program.h"
 
 int main(int argc, char** argv) {
-  CLI::App app("deterministic simulation of lugfork under failure", "lugfork-sim");
+  CLI::App app("deterministic simulation of lugfork under faults", "lugfork-sim");
   app.set_version_flag("--version", LUGFORK_VERSION);
   app.require_subcommand(1);
   lugfork::CommandBody run;
--- a/src/programs/lugforkctl.cc
+++ b/src/programs/lugforkctl.cc
@@ -1,14 +1,14 @@
-/** lugforkctl: the operators' client. */
+/** lugforkctl: command-line client for operators. */
 
 #include "programs/ctl_commands.h"
 #include "runtime/program.h"
 
 int main(int argc, char** argv) {
-  CLI::App app("lugfork's client for operators", "lugforkctl");
+  CLI::App app("command-line client for operators of lugfork", "lugforkctl");
   app.set_version_flag("--version", LUGFORK_VERSION);
   app.footer(
-      "Exit codes: 0 done; 1 not done (conflict, invalid document, a node behind, no answer);\n"
-      "2 wrong flags. Each command has --help.");
+      "Exit codes: 0 success; 1 failure (conflict, invalid document, node behind, no answer);\n"
+      "2 invalid command line. Run a command with --help for its options.");
   app.require_subcommand(1);
   lugfork::CommandBody run;
   lugfork::addDeclareCommands(app, run);
--- a/src/programs/sim_report.cc
+++ b/src/programs/sim_report.cc
@@ -11,12 +11,12 @@
 namespace {
 
 struct ReportSettings {
-  /** LABEL=FILE of each result. */
+  /** Results as LABEL=FILE. */
   std::vector<std::string> results;
   std::string output;
 };
 
-std::string checkResult(const std::string& text) {
+std::string checkLabeledFile(const std::string& text) {
   const auto equals = text.find('=');
   return equals != std::string::npos && equals > 0 ? ""
                                                    : "must be LABEL=FILE, got \"" + text + "\"";
@@ -50,12 +50,12 @@
 
 void addReportCommand(CLI::App& app, CommandBody& run) {
   CLI::App* command = app.add_subcommand(
-      "report", "makes an HTML page of broken flows and imbalance from results of run");
+      "report", "writes an HTML page of broken flows and imbalance from results of run");
   const auto settings = std::make_shared<ReportSettings>();
-  command->add_option("--result", settings->results, "result of run --format json, once for each")
+  command->add_option("--result", settings->results, "result of run --format json; may be repeated")
       ->required()
-      ->check(CLI::Validator(checkResult, "LABEL=FILE"));
-  command->add_option("--output", settings->output, "page to write (HTML)")->required();
+      ->check(CLI::Validator(checkLabeledFile, "LABEL=FILE"));
+  command->add_option("--output", settings->output, "output file (HTML)")->required();
   command->callback([&run, settings] { run = [settings] { return report(*settings); }; });
 }
 
--- a/src/programs/sim_run.cc
+++ b/src/programs/sim_run.cc
@@ -15,7 +15,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr std::size_t kMaxThreads = 4;
-constexpr std::uint64_t kMostSeeds = 100000;
+constexpr std::uint64_t kMaxSeeds = 100000;
 
 struct RunSettings {
   std::string scenario_file;
@@ -103,7 +103,7 @@
   }
 }
 
-/** Runs all seeds, several at a time. @return the reports in the order of the seeds. */
+/** Simulates all seeds in parallel. @return the reports in the order of the seeds. */
 std::vector<PromiseReport> runSeeds(const RunSettings& settings, const Scenario& scenario,
                                     const std::vector<Fault>* faults) {
   std::vector<PromiseReport> reports(settings.last_seed - settings.first_seed + 1);
@@ -164,7 +164,7 @@
   return total.holds() ? kExitSuccess : kExitFailure;
 }
 
-/** Reads "A..B" or "A". @return false for anything else. */
+/** Parses "A..B" or "A". @return false if the text is neither. */
 bool parseSeeds(const std::string& text, RunSettings& settings) {
   const std::size_t dots = text.find("..");
   const std::string first = text.substr(0, dots);
@@ -172,44 +172,44 @@
   const bool parsed = CLI::detail::lexical_cast(first, settings.first_seed) &&
                       CLI::detail::lexical_cast(last, settings.last_seed);
   return parsed && settings.first_seed <= settings.last_seed &&
-         settings.last_seed - settings.first_seed < kMostSeeds;
+         settings.last_seed - settings.first_seed < kMaxSeeds;
 }
 
 }  // namespace
 
 void addRunCommand(CLI::App& app, CommandBody& run_body) {
   CLI::App* command =
-      app.add_subcommand("run", "runs a scenario under faults, checks the promises");
+      app.add_subcommand("run", "simulates a scenario under faults and checks the guarantees");
   const auto settings = std::make_shared<RunSettings>();
   command->add_option("--scenario", settings->scenario_file, "scenario file (TOML)")->required();
   command->add_option("--faults", settings->faults_file,
-                      "fault table (TOML); without one each seed draws a storm");
+                      "fault table (TOML); default: random faults drawn from each seed");
   command
       ->add_option_function<std::string>(
           "--seeds",
           [settings](const std::string& text) {
             if (!parseSeeds(text, *settings)) {
-              throw CLI::ValidationError("--seeds", "must be A..B with A <= B, or one number");
+              throw CLI::ValidationError("--seeds", "must be a number or A..B with A <= B");
             }
           },
-          "seeds to run, as A..B")
+          "seeds to run, as A..B or one number")
       ->default_str("1");
   std::map<std::string, RouterKind> routers;
   for (std::size_t index = 0; index < routerKindNames().size(); ++index) {
     routers[routerKindNames()[index]] = static_cast<RouterKind>(index);
   }
-  command->add_option("--router", settings->router, "token, maglev-table or rendezvous")
+  command->add_option("--router", settings->router, "router: token, maglev-table or rendezvous")
       ->transform(CLI::CheckedTransformer(routers));
   command->add_option("--placement", settings->placement, "placement policy of the token router")
       ->check(CLI::IsMember(placementPolicyNames()));
-  command->add_option("--format", settings->format, "json or text")
+  command->add_option("--format", settings->format, "output format: json or text")
       ->check(CLI::IsMember({"json", "text"}));
-  command->add_option("--threads", settings->threads, "seeds run at a time")
+  command->add_option("--threads", settings->threads, "number of seeds simulated in parallel")
       ->check(CLI::Range(std::size_t{1}, kMaxThreads));
   command->add_flag("--each-seed", settings->each_seed,
-                    "writes the counts of each seed that breaks a promise to standard error");
+                    "write the counts of each seed that violates a guarantee to standard error");
   command->add_flag("--explain", settings->explain,
-                    "writes faults and broken calls to standard error; for one seed");
+                    "write faults and broken calls to standard error; meant for a single seed");
   command->callback([&run_body, settings] { run_body = [settings] { return run(*settings); }; });
 }
 
--- a/src/programs/standin_backend.cc
+++ b/src/programs/standin_backend.cc
@@ -19,11 +19,11 @@
 constexpr Duration kTickInterval = milliseconds(10);
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
-/** Attempts whose path is recorded; later ones are served all the same. */
+/** Maximum number of attempts whose path is recorded; further ones are served without a record. */
 constexpr std::size_t kMaxRecordedPaths = 100000;
 
-/** Records which balancers forwarded datagrams of each attempt, as evidence for demos and tests. */
-class FlowPathRecord {
+/** Records which balancers forwarded datagrams of each attempt, for demos and tests. */
+class FlowPathRecorder {
  public:
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint balancer) {
     const auto outer = decodeDatagram(bytes);
@@ -42,7 +42,7 @@
     }
   }
 
-  /** @return an array of {flow, attempt, caller, datagrams by balancer}. */
+  /** @return an array of objects with flow, attempt, caller and datagrams by balancer. */
   json toJson() const {
     json entries = json::array();
     for (const auto& [key, path] : paths_) {
@@ -52,7 +52,7 @@
       }
       entries.push_back({{"flow", toString(key.flow)},
                          {"attempt", key.attempt},
-                         {"caller", toString(path.caller)},
+                         {"caller", toString(path.client)},
                          {"balancers", balancers}});
     }
     return entries;
@@ -60,16 +60,16 @@
 
  private:
   struct Path {
-    Endpoint caller;
+    Endpoint client;
     std::map<Endpoint, std::uint64_t> datagrams_by_balancer;
   };
 
-  void add(const FlowKey& key, Endpoint caller, Endpoint balancer) {
+  void add(const FlowKey& key, Endpoint client, Endpoint balancer) {
     if (paths_.size() >= kMaxRecordedPaths && !paths_.contains(key)) {
       return;
     }
     Path& path = paths_[key];
-    path.caller = caller;
+    path.client = client;
     ++path.datagrams_by_balancer[balancer];
   }
 
@@ -84,7 +84,7 @@
   Endpoint probe_address;
 };
 
-/** Runs one BackendModel on real sockets, with its load endpoint and test switches. */
+/** Runs a BackendModel on real sockets, with its load endpoint and test controls. */
 class BackendStandin {
  public:
   explicit BackendStandin(const BackendProgramSettings& settings)
@@ -150,7 +150,7 @@
 
   boost::asio::io_context io_context_;
   RealTimeSource time_source_;
-  FlowPathRecord paths_;
+  FlowPathRecorder paths_;
   UdpEndpoint socket_;
   BackendModel model_;
   PeriodicTimer timer_;
@@ -160,26 +160,33 @@
 }  // namespace
 
 void addBackendCommand(CLI::App& app, CommandBody& run) {
-  CLI::App* command = app.add_subcommand("backend", "serves requests of one service");
+  CLI::App* command =
+      app.add_subcommand("backend", "runs a backend that serves requests of one service");
   const auto settings = std::make_shared<BackendProgramSettings>();
-  command->add_option("--id", settings->id, "back end id of the configuration")->required();
-  command->add_option("--service", settings->service, "service id of the configuration")
+  command->add_option("--id", settings->id, "id of the backend in the configuration")->required();
+  command->add_option("--service", settings->service, "id of the service in the configuration")
+      ->required();
+  addEndpointOption(*command, "--listen", settings->listen, "address for requests (UDP)")
       ->required();
-  addEndpointOption(*command, "--listen", settings->listen, "UDP address")->required();
   addEndpointOption(*command, "--probe-address", settings->probe_address,
-                    "HTTP address of /load, /runs, /flows and /control")
+                    "address of /load, /runs, /flows and /control (HTTP)")
       ->required();
-  command->add_option("--slots", settings->model.slots, "requests worked on at a time")
+  command
+      ->add_option("--slots", settings->model.slots,
+                   "maximum number of requests processed concurrently")
       ->check(CLI::Range(1, 1000000))
       ->capture_default_str();
-  command->add_option("--connections", settings->model.connections, "flows held open at a time")
+  command->add_option("--connections", settings->model.connections, "maximum number of open flows")
       ->check(CLI::Range(1, 10000000))
       ->capture_default_str();
-  command->add_option("--queue-limit", settings->model.queue_limit, "requests waiting for a slot")
+  command
+      ->add_option("--queue-limit", settings->model.queue_limit,
+                   "maximum number of requests queued for a slot")
       ->check(CLI::Range(0, 1000000))
       ->capture_default_str();
   addMillisecondsOption(*command, "--cold-start", settings->model.cold_start, milliseconds(0),
-                        milliseconds(600000), "time after the start in which work takes longer");
+                        milliseconds(600000),
+                        "time after the start during which processing is slower");
   command->callback([&run, settings] {
     run = [settings] {
       settings->model.id = BackendId(settings->id);
--- a/src/programs/standin_commands.h
+++ b/src/programs/standin_commands.h
@@ -3,21 +3,21 @@
 #include <CLI/CLI.hpp>
 #include <functional>
 
-/** Subcommands of lugfork-standin. Each sets `run` to its body when it is chosen. */
+/** Subcommands of lugfork-standin. Each sets `run` to its body when it is selected. */
 namespace lugfork {
 
 using CommandBody = std::function<int()>;
 
-/** Configuration service and machine list. */
+/** Adds platform, which serves the configuration and the machine list. */
 void addPlatformCommand(CLI::App& app, CommandBody& run);
 
-/** Network fabric that sprays datagrams over the balancers. */
+/** Adds fabric, which sprays datagrams over the balancers. */
 void addFabricCommand(CLI::App& app, CommandBody& run);
 
-/** Back end that serves requests. */
+/** Adds backend, which serves requests of one service. */
 void addBackendCommand(CLI::App& app, CommandBody& run);
 
-/** Callers that make many calls and check the answers. */
+/** Adds caller, a client that makes calls and checks the answers. */
 void addClientCommand(CLI::App& app, CommandBody& run);
 
 }  // namespace lugfork
--- a/src/programs/standin_fabric.cc
+++ b/src/programs/standin_fabric.cc
@@ -24,7 +24,7 @@
   Duration health_timeout = milliseconds(300);
 };
 
-/** Sends each datagram to a random balancer out of those that its own health checks found ready. */
+/** Sends each datagram to a random balancer among those that pass its health checks. */
 class FabricStandin {
  public:
   explicit FabricStandin(const FabricSettings& settings)
@@ -41,12 +41,12 @@
   }
 
  private:
-  void spray(std::span<const std::uint8_t> bytes, Endpoint caller) {
+  void spray(std::span<const std::uint8_t> bytes, Endpoint client) {
     if (ready_.empty()) {
       return;
     }
     const Endpoint balancer = ready_[random_->below(ready_.size())];
-    socket_.sendDatagram(balancer, Sprayed{caller, Bytes(bytes.begin(), bytes.end())});
+    socket_.sendDatagram(balancer, Sprayed{client, Bytes(bytes.begin(), bytes.end())});
   }
 
   void checkHealth() {
@@ -101,7 +101,7 @@
   boost::asio::thread_pool workers_;
   std::vector<Endpoint> ready_;
   bool check_in_progress_ = false;
-  /** Only used by the one health check in progress. */
+  /** Accessed only by the health check in progress, of which there is at most one. */
   std::vector<Machine> machines_;
 };
 
@@ -110,9 +110,11 @@
 void addFabricCommand(CLI::App& app, CommandBody& run) {
   CLI::App* command = app.add_subcommand("fabric", "sprays datagrams over the ready balancers");
   const auto settings = std::make_shared<FabricSettings>();
-  addEndpointOption(*command, "--listen", settings->listen, "UDP address that callers send to")
+  addEndpointOption(*command, "--listen", settings->listen,
+                    "address for datagrams of clients (UDP)")
       ->required();
-  addEndpointOption(*command, "--platform", settings->platform, "where the machine list is read")
+  addEndpointOption(*command, "--platform", settings->platform,
+                    "address of the platform that serves the machine list")
       ->required();
   addMillisecondsOption(*command, "--health-interval", settings->health_interval, milliseconds(10),
                         milliseconds(60000), "time between two rounds of health checks");
--- a/src/programs/standin_platform.cc
+++ b/src/programs/standin_platform.cc
@@ -42,7 +42,7 @@
   return response;
 }
 
-/** The platform's HTTP interface: read for nodes, compare-and-set for operators, test switches. */
+/** HTTP interface of the platform: reads by nodes, compare-and-set by operators, test controls. */
 class PlatformStandin {
  public:
   PlatformStandin(std::string configuration, std::string machines)
@@ -82,7 +82,7 @@
     return response;
   }
 
-  /** Compare-and-set: the If-Match header names the version that the document follows. */
+  /** Publishes by compare-and-set: the If-Match header has the version that is to be replaced. */
   HttpResponse publish(const HttpRequest& request) {
     const auto expected = request.headers.find("if-match");
     const std::string expected_tag = expected == request.headers.end() ? "" : expected->second;
@@ -134,10 +134,14 @@
 }  // namespace
 
 void addPlatformCommand(CLI::App& app, CommandBody& run) {
-  CLI::App* command = app.add_subcommand("platform", "configuration service and machine list");
+  CLI::App* command =
+      app.add_subcommand("platform", "serves the configuration and the machine list");
   const auto settings = std::make_shared<PlatformSettings>();
-  addEndpointOption(*command, "--listen", settings->listen, "HTTP address")->required();
-  command->add_option("--configuration", settings->configuration_file, "document to serve (JSON)")
+  addEndpointOption(*command, "--listen", settings->listen, "address of the service (HTTP)")
+      ->required();
+  command
+      ->add_option("--configuration", settings->configuration_file,
+                   "configuration document to serve (JSON)")
       ->required()
       ->check(CLI::ExistingFile);
   command->add_option("--machines", settings->machines_file, "machine list to serve (JSON)")
