--- a/tests/balancer/control_work_meter_test.cc
+++ b/tests/balancer/control_work_meter_test.cc
@@ -7,7 +7,7 @@
 namespace lugfork {
 namespace {
 
-struct ManualProcessorClock : ProcessorClock {
+struct ManualProcessorClock : CpuClock {
   Duration used() const override { return cpu_time_used; }
   Duration cpu_time_used{};
 };
