--- a/src/sim/hollow_fleet.cc
+++ b/src/sim/in_process_fleet.cc
@@ -1,4 +1,4 @@
-#include "sim/hollow_fleet.h"
+#include "sim/in_process_fleet.h"
 
 #include <algorithm>
 
@@ -30,9 +30,9 @@
 }  // namespace
 
 /** One hollow node: the Node, its process and the outputs around it. */
-class HollowFleet::HollowNode : public NodeOutputs {
+class InProcessFleet::InProcessNode : public NodeOutputs {
  public:
-  HollowNode(HollowFleet& fleet, std::size_t index, NodeSettings settings)
+  InProcessNode(InProcessFleet& fleet, std::size_t index, NodeSettings settings)
       : fleet_(fleet),
         index_(index),
         settings_(std::move(settings)),
@@ -59,7 +59,7 @@
   Node* node() { return node_.get(); }
   SimulatedProcess& process() { return process_; }
   const NodeSettings& settings() const { return settings_; }
-  const HollowNodeCounters& counters() const { return counters_; }
+  const InProcessNodeCounters& counters() const { return counters_; }
 
   void sendDatagram(Endpoint, const Datagram&) override {}
 
@@ -105,16 +105,16 @@
 
   void noteVersion() { fleet_.noteVersion(index_, node_->configuration().version()); }
 
-  HollowFleet& fleet_;
+  InProcessFleet& fleet_;
   const std::size_t index_;
   const NodeSettings settings_;
   SimulatedProcess process_;
   std::unique_ptr<RandomGenerator> random_;
   std::unique_ptr<Node> node_;
-  HollowNodeCounters counters_;
+  InProcessNodeCounters counters_;
 };
 
-HollowFleet::HollowFleet(HollowFleetSettings settings)
+InProcessFleet::InProcessFleet(InProcessFleetSettings settings)
     : settings_(std::move(settings)),
       random_(makeSeededRandom(settings_.seed)),
       network_(queue_, *random_, settings_.links),
@@ -124,15 +124,15 @@
     node.name = nodeName(index);
     node.zone = zoneName(index % settings_.zones);
     node.peer_address = {kNodeNetwork + static_cast<std::uint32_t>(index) + 1, kPeerPort};
-    nodes_.push_back(std::make_unique<HollowNode>(*this, index, std::move(node)));
+    nodes_.push_back(std::make_unique<InProcessNode>(*this, index, std::move(node)));
     machines_.push_back(machineOf(index));
   }
   publish(makeConfiguration(settings_));
 }
 
-HollowFleet::~HollowFleet() = default;
+InProcessFleet::~InProcessFleet() = default;
 
-Configuration HollowFleet::makeConfiguration(const HollowFleetSettings& settings) {
+Configuration InProcessFleet::makeConfiguration(const InProcessFleetSettings& settings) {
   Configuration configuration;
   configuration.version = ConfigVersion(1);
   configuration.system = "hollow";
@@ -173,34 +173,34 @@
   return configuration;
 }
 
-std::size_t HollowFleet::size() const {
+std::size_t InProcessFleet::size() const {
   return nodes_.size();
 }
 
-void HollowFleet::start(std::size_t index) {
+void InProcessFleet::start(std::size_t index) {
   versions_[index] = ConfigVersion();
   nodes_[index]->start();
 }
 
-void HollowFleet::startAll() {
+void InProcessFleet::startAll() {
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
     start(index);
   }
 }
 
-void HollowFleet::kill(std::size_t index) {
+void InProcessFleet::kill(std::size_t index) {
   nodes_[index]->kill();
 }
 
-void HollowFleet::pause(std::size_t index) {
+void InProcessFleet::pause(std::size_t index) {
   nodes_[index]->process().pause();
 }
 
-void HollowFleet::resume(std::size_t index) {
+void InProcessFleet::resume(std::size_t index) {
   nodes_[index]->process().resume();
 }
 
-Duration HollowFleet::runUntil(const std::function<bool()>& condition, Duration limit) {
+Duration InProcessFleet::runUntil(const std::function<bool()>& condition, Duration limit) {
   const MonotonicTime start = queue_.now();
   while (!condition() && queue_.now() - start < limit) {
     queue_.runFor(kStep);
@@ -208,31 +208,31 @@
   return queue_.now() - start;
 }
 
-Node* HollowFleet::node(std::size_t index) {
+Node* InProcessFleet::node(std::size_t index) {
   return nodes_[index]->node();
 }
 
-const Node* HollowFleet::node(std::size_t index) const {
+const Node* InProcessFleet::node(std::size_t index) const {
   return nodes_[index]->node();
 }
 
-const HollowNodeCounters& HollowFleet::counters(std::size_t index) const {
+const InProcessNodeCounters& InProcessFleet::counters(std::size_t index) const {
   return nodes_[index]->counters();
 }
 
-std::string HollowFleet::nodeName(std::size_t index) {
+std::string InProcessFleet::nodeName(std::size_t index) {
   return "node-" + std::to_string(index + 1);
 }
 
-std::string HollowFleet::zoneOf(std::size_t index) const {
+std::string InProcessFleet::zoneOf(std::size_t index) const {
   return nodes_[index]->settings().zone;
 }
 
-void HollowFleet::publish(const Configuration& configuration) {
+void InProcessFleet::publish(const Configuration& configuration) {
   platform_text_ = writeConfigurationDocument(configuration, SecretHandling::Include);
 }
 
-void HollowFleet::setPlatformReachable(const std::string& zone, bool reachable) {
+void InProcessFleet::setPlatformReachable(const std::string& zone, bool reachable) {
   for (std::size_t index = 0; index < settings_.zones; ++index) {
     const std::string name = zoneName(index);
     if (!zone.empty() && zone != name) {
@@ -246,7 +246,7 @@
   }
 }
 
-void HollowFleet::cutZone(const std::string& zone) {
+void InProcessFleet::cutZone(const std::string& zone) {
   for (std::size_t index = 0; index < settings_.zones; ++index) {
     const std::string other = zoneName(index);
     if (other != zone) {
@@ -256,7 +256,7 @@
   }
 }
 
-Machine HollowFleet::machineOf(std::size_t index) const {
+Machine InProcessFleet::machineOf(std::size_t index) const {
   const NodeSettings& settings = nodes_[index]->settings();
   Machine machine;
   machine.name = settings.name;
@@ -265,13 +265,13 @@
   return machine;
 }
 
-bool HollowFleet::allHaveVersion(ConfigVersion version) const {
+bool InProcessFleet::allHaveVersion(ConfigVersion version) const {
   return std::all_of(nodes_.begin(), nodes_.end(), [version](const auto& node) {
     return node->node() == nullptr || node->node()->configuration().version() == version;
   });
 }
 
-bool HollowFleet::allBelieve(std::size_t index, MemberState state) const {
+bool InProcessFleet::allBelieve(std::size_t index, MemberState state) const {
   const std::string name = nodeName(index);
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     const Node* node = nodes_[other]->node();
@@ -286,22 +286,23 @@
   return true;
 }
 
-bool HollowFleet::allKnowDraining(const Backend& backend) const {
+bool InProcessFleet::allKnowDraining(const Backend& backend) const {
   return std::all_of(nodes_.begin(), nodes_.end(), [&backend](const auto& node) {
     return node->node() == nullptr || !node->node()->loads().mayPlace(backend);
   });
 }
 
-bool HollowFleet::platformReachable(const std::string& zone) const {
+bool InProcessFleet::platformReachable(const std::string& zone) const {
   return !cut_from_platform_.contains(zone);
 }
 
-const std::string& HollowFleet::platformTextFor(const std::string& zone) const {
+const std::string& InProcessFleet::platformTextFor(const std::string& zone) const {
   const auto found = replicas_.find(zone);
   return found == replicas_.end() ? platform_text_ : found->second;
 }
 
-BackendReport HollowFleet::reportOf(const Backend& backend, const TimeSource& time_source) const {
+BackendReport InProcessFleet::reportOf(const Backend& backend,
+                                       const TimeSource& time_source) const {
   BackendReport report;
   report.backend = backend.id;
   report.measured_at_ms = toUnixMilliseconds(time_source.systemTime());
@@ -316,7 +317,7 @@
   return report;
 }
 
-void HollowFleet::noteVersion(std::size_t index, ConfigVersion version) {
+void InProcessFleet::noteVersion(std::size_t index, ConfigVersion version) {
   reverts_ += version < versions_[index] ? 1 : 0;
   versions_[index] = version;
 }
--- a/src/sim/hollow_fleet.h
+++ b/src/sim/in_process_fleet.h
@@ -9,7 +9,7 @@
 namespace lugfork {
 
 /** Sizes and timing of a fleet of hollow nodes. */
-struct HollowFleetSettings {
+struct InProcessFleetSettings {
   std::size_t nodes = 3;
   std::size_t backends = 19;
   std::size_t services = 2;
@@ -22,7 +22,7 @@
 };
 
 /** What one hollow node sent, all lives together. */
-struct HollowNodeCounters {
+struct InProcessNodeCounters {
   std::uint64_t largest_message = 0;
 };
 
@@ -30,13 +30,13 @@
  * Many real Nodes in one process on a virtual clock, with a platform and back ends that answer
  * probes; no data path. For tests of what nodes tell each other under faults.
  */
-class HollowFleet {
+class InProcessFleet {
  public:
-  explicit HollowFleet(HollowFleetSettings settings);
-  ~HollowFleet();
+  explicit InProcessFleet(InProcessFleetSettings settings);
+  ~InProcessFleet();
 
   /** @return a configuration of the sizes given, with version 1. */
-  static Configuration makeConfiguration(const HollowFleetSettings& settings);
+  static Configuration makeConfiguration(const InProcessFleetSettings& settings);
 
   std::size_t size() const;
   void start(std::size_t index);
@@ -53,7 +53,7 @@
   /** @return the node of this life; nullptr while it is dead. */
   Node* node(std::size_t index);
   const Node* node(std::size_t index) const;
-  const HollowNodeCounters& counters(std::size_t index) const;
+  const InProcessNodeCounters& counters(std::size_t index) const;
   static std::string nodeName(std::size_t index);
   std::string zoneOf(std::size_t index) const;
   MonotonicTime now() const { return queue_.now(); }
@@ -92,19 +92,19 @@
   std::uint64_t configurationReverts() const { return reverts_; }
 
  private:
-  class HollowNode;
+  class InProcessNode;
 
   bool platformReachable(const std::string& zone) const;
   const std::string& platformTextFor(const std::string& zone) const;
   BackendReport reportOf(const Backend& backend, const TimeSource& time_source) const;
   void noteVersion(std::size_t index, ConfigVersion version);
 
-  const HollowFleetSettings settings_;
+  const InProcessFleetSettings settings_;
   EventQueue queue_;
   std::unique_ptr<RandomGenerator> random_;
   SimulatedNetwork network_;
   NullEventLog log_;
-  std::vector<std::unique_ptr<HollowNode>> nodes_;
+  std::vector<std::unique_ptr<InProcessNode>> nodes_;
   std::vector<Machine> machines_;
   std::string platform_text_;
   std::map<std::string, std::string> replicas_;
--- a/tests/cluster/configuration_faults_test.cc
+++ b/tests/cluster/configuration_faults_test.cc
@@ -5,14 +5,14 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings nineNodes() {
-  HollowFleetSettings settings;
+InProcessFleetSettings nineNodes() {
+  InProcessFleetSettings settings;
   settings.nodes = 9;
   return settings;
 }
 
 TEST_CASE("a change that one zone's replica shows is in force everywhere within seconds") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 0)));
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(2)); };
@@ -23,7 +23,7 @@
 }
 
 TEST_CASE("an hour without the platform changes nothing and a change made meanwhile arrives") {
-  HollowFleetSettings settings = nineNodes();
+  InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setPlatformReachable("", false);
   fleet->publish(changedConfiguration(settings, 2, 0));
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("a restarted node takes its peers' version although the platform is stale") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   const std::string stale = fleet->platformText();
   fleet->publish(changedConfiguration(settings, 2, 0));
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("a zone cut off keeps placing and the higher version wins everywhere after the cut") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->cutZone("zone-3");
   fleet->setReplica("zone-3", documentOf(changedConfiguration(settings, 3, 1)));
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("two contents of one version end as the same one on every node, and are reported") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-1", documentOf(changedConfiguration(settings, 2, 0)));
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 1)));
@@ -91,11 +91,11 @@
 }
 
 TEST_CASE("a configuration too large for one message reaches a joining node by buckets") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 4;
   settings.backends = 2000;
   settings.services = 300;
-  auto fleet = std::make_unique<HollowFleet>(settings);
+  auto fleet = std::make_unique<InProcessFleet>(settings);
   fleet->setPlatformReachable("zone-1", false);
   fleet->startAll();
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(1)); };
--- a/tests/cluster/fleet_fixture.h
+++ b/tests/cluster/fleet_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "sim/hollow_fleet.h"
+#include "sim/in_process_fleet.h"
 
 namespace lugfork {
 
@@ -8,17 +8,17 @@
 inline constexpr Duration kSettleTime = seconds(8);
 
 /** A fleet that has run long enough for every node to have joined. */
-inline std::unique_ptr<HollowFleet> settledFleet(HollowFleetSettings settings) {
-  auto fleet = std::make_unique<HollowFleet>(std::move(settings));
+inline std::unique_ptr<InProcessFleet> settledFleet(InProcessFleetSettings settings) {
+  auto fleet = std::make_unique<InProcessFleet>(std::move(settings));
   fleet->startAll();
   fleet->run(kSettleTime);
   return fleet;
 }
 
 /** @return the fleet's configuration with another version and one back end marked as draining. */
-inline Configuration changedConfiguration(const HollowFleetSettings& settings,
+inline Configuration changedConfiguration(const InProcessFleetSettings& settings,
                                           std::uint64_t version, std::size_t draining_backend) {
-  Configuration configuration = HollowFleet::makeConfiguration(settings);
+  Configuration configuration = InProcessFleet::makeConfiguration(settings);
   configuration.version = ConfigVersion(version);
   configuration.backends[draining_backend].draining = true;
   return configuration;
@@ -29,7 +29,7 @@
 }
 
 /** @return how many nodes place new flows now. */
-inline std::size_t placingNodes(HollowFleet& fleet) {
+inline std::size_t placingNodes(InProcessFleet& fleet) {
   std::size_t count = 0;
   for (std::size_t index = 0; index < fleet.size(); ++index) {
     Node* node = fleet.node(index);
--- a/tests/cluster/load_spread_test.cc
+++ b/tests/cluster/load_spread_test.cc
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("at today's size every node knows the load of every back end as of seconds ago") {
-  auto fleet = settledFleet(HollowFleetSettings());
+  auto fleet = settledFleet(InProcessFleetSettings());
   fleet->run(seconds(10));
   const std::uint64_t now_ms = toUnixMilliseconds(
       SystemTime(std::chrono::hours(24 * 365 * 50) + fleet->now().time_since_epoch()));
@@ -92,20 +92,20 @@
 }
 
 TEST_CASE("a drain that one prober sees is known everywhere within seconds") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[4];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[4];
   fleet->setDraining(backend.id);
   const auto known = [&] { return fleet->allKnowDraining(backend); };
   CHECK(fleet->runUntil(known, seconds(30)) < seconds(5));
 }
 
 TEST_CASE("a node that joins after the gossip about a drain has ended knows of it too") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[4];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[4];
   fleet->setDraining(backend.id);
   fleet->run(seconds(60));
   fleet->kill(0);
--- a/tests/cluster/membership_faults_test.cc
+++ b/tests/cluster/membership_faults_test.cc
@@ -5,15 +5,15 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings fleetOf(std::size_t nodes) {
-  HollowFleetSettings settings;
+InProcessFleetSettings fleetOf(std::size_t nodes) {
+  InProcessFleetSettings settings;
   settings.nodes = nodes;
   return settings;
 }
 
 TEST_CASE(
     "all nodes find each other although the platform's list is short and holds a dead entry") {
-  HollowFleet fleet(fleetOf(6));
+  InProcessFleet fleet(fleetOf(6));
   fleet.machineList().erase(fleet.machineList().begin() + 2, fleet.machineList().end());
   Machine dead = fleet.machineOf(0);
   dead.name = "gone";
--- a/tests/cluster/probe_assignment_test.cc
+++ b/tests/cluster/probe_assignment_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <map>
 
-#include "sim/hollow_fleet.h"
+#include "sim/in_process_fleet.h"
 
 namespace lugfork {
 namespace {
@@ -36,9 +36,9 @@
 };
 
 TEST_CASE("each back end has its probers, also where its zone has too few balancers or none") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.backends = 60;
-  const ConfigurationView view(HollowFleet::makeConfiguration(settings));
+  const ConfigurationView view(InProcessFleet::makeConfiguration(settings));
   const std::vector<AssignmentCase> cases = {
       {"many in each zone", {5, 5, 5}, 2},
       {"one in the zone", {1, 5, 5}, 1},
--- a/tests/cluster/view_lease_test.cc
+++ b/tests/cluster/view_lease_test.cc
@@ -7,8 +7,8 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings sixNodes(bool lease_enabled) {
-  HollowFleetSettings settings;
+InProcessFleetSettings sixNodes(bool lease_enabled) {
+  InProcessFleetSettings settings;
   settings.nodes = 6;
   settings.node.lease.enabled = lease_enabled;
   return settings;
@@ -16,9 +16,9 @@
 
 /** A back end drains while one node is paused; @return whether that node would still use it. */
 bool placesOnDrainedBackendAfterWaking(bool lease_enabled) {
-  const HollowFleetSettings settings = sixNodes(lease_enabled);
+  const InProcessFleetSettings settings = sixNodes(lease_enabled);
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[0];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[0];
   fleet->pause(3);
   fleet->run(seconds(30));
   fleet->setDraining(backend.id);
@@ -81,7 +81,7 @@
   };
   for (const IsolationCase& test : cases) {
     INFO(test.name);
-    HollowFleetSettings settings;
+    InProcessFleetSettings settings;
     settings.nodes = 3;
     auto fleet = settledFleet(settings);
     if (!test.peers_reachable) {
@@ -111,9 +111,9 @@
   };
   for (const JoinCase& test : cases) {
     INFO(test.name);
-    HollowFleetSettings settings;
+    InProcessFleetSettings settings;
     settings.nodes = 4;
-    HollowFleet fleet(settings);
+    InProcessFleet fleet(settings);
     if (test.peers_running) {
       fleet.start(1);
       fleet.start(2);
--- a/tests/config/configuration_delta_test.cc
+++ b/tests/config/configuration_delta_test.cc
@@ -3,13 +3,13 @@
 #include <catch2/catch.hpp>
 
 #include "config/configuration_store.h"
-#include "sim/hollow_fleet.h"
+#include "sim/in_process_fleet.h"
 
 namespace lugfork {
 namespace {
 
 Configuration baseConfiguration() {
-  return HollowFleet::makeConfiguration(HollowFleetSettings());
+  return InProcessFleet::makeConfiguration(InProcessFleetSettings());
 }
 
 ConfigurationId idOf(const ConfigurationView& view) {
