--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -11,7 +11,7 @@
 namespace lugfork {
 namespace {
 
-constexpr std::uint32_t kServers = 3000;
+constexpr std::uint32_t kBackends = 3000;
 constexpr std::uint32_t kRoutes = 1700;
 constexpr std::uint32_t kBalancers = 300;
 const Endpoint kRouteAddress{0x0a140001, 443};
@@ -28,7 +28,7 @@
 class QueueScheduler : public Scheduler {
  public:
   void callAfter(Duration delay, std::function<void()> function) override {
-    if (delay <= kLongestDelay) {
+    if (delay <= kMaxDelay) {
       calls.push_back(std::move(function));
     }
   }
@@ -40,10 +40,10 @@
   std::vector<std::function<void()>> calls;
 
  private:
-  static constexpr Duration kLongestDelay = milliseconds(10);
+  static constexpr Duration kMaxDelay = milliseconds(10);
 };
 
-class HeldSource : public ItemSource {
+class ManualItemSource : public ItemSource {
  public:
   void readPage(const PageRequest&, PageCallback callback) override { page = std::move(callback); }
   void watch(const WatchRequest&, WatchCallback callback) override {
@@ -53,14 +53,14 @@
   WatchCallback changes;
 };
 
-class NoSender : public PacketSender {
+class DiscardingSender : public PacketSender {
  public:
   void forwardPacket(const Backend&, CompactToken sent_token) override { token = sent_token; }
   void resetCaller(const FlowPacket&) override {}
   CompactToken token;
 };
 
-Item serverItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
+Item backendItem(std::uint32_t number, Revision revision, ServerState state = ServerState::Ready) {
   ServerRecord record;
   record.server_id = 0x9e3779b97f4a7c15ULL * (number + 1);
   record.service = number % 5 == 0 ? "imagenes" : "catalogo";
@@ -83,14 +83,14 @@
   return {kPrefix + "routes", encodeRecord(PlatformRecord(table)), version, 1};
 }
 
-ItemPage wholeView(std::uint32_t servers, std::uint32_t routes) {
+ItemPage fullView(std::uint32_t backends, std::uint32_t routes) {
   ItemPage page;
   page.is_whole_view = true;
-  page.at = servers + 10;
-  for (std::uint32_t number = 0; number < servers; ++number) {
-    page.items.push_back(serverItem(number, number + 1));
+  page.at = backends + 10;
+  for (std::uint32_t number = 0; number < backends; ++number) {
+    page.items.push_back(backendItem(number, number + 1));
   }
-  page.items.push_back(routesItem(servers + 5, routes));
+  page.items.push_back(routesItem(backends + 5, routes));
   return page;
 }
 
@@ -99,7 +99,7 @@
 
   void start() { node.start(); }
 
-  void takeChange(Item item) {
+  void applyChange(Item item) {
     const Revision at = item.revision;
     if (!source.changes) {
       scheduler.runAll();
@@ -111,8 +111,8 @@
 
   const TimeSource& time;
   QueueScheduler scheduler;
-  HeldSource source;
-  NoSender sender;
+  ManualItemSource source;
+  DiscardingSender sender;
   NullEventLog log;
   CompactRecordDecoder decoder;
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
@@ -128,7 +128,7 @@
 
 void measureFirstViewToReady(benchmark::State& state) {
   const SettableTime time;
-  const ItemPage page = wholeView(static_cast<std::uint32_t>(state.range(0)), 50);
+  const ItemPage page = fullView(static_cast<std::uint32_t>(state.range(0)), 50);
   for (auto _ : state) {
     state.PauseTiming();
     auto harness = std::make_unique<NodeHarness>(time);
@@ -143,37 +143,37 @@
     state.ResumeTiming();
   }
 }
-BENCHMARK(measureFirstViewToReady)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureFirstViewToReady)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 
 void measureServerChange(benchmark::State& state) {
   const SettableTime time;
   NodeHarness harness(time);
   harness.start();
-  const auto servers = static_cast<std::uint32_t>(state.range(0));
-  harness.source.page(wholeView(servers, 50));
-  Revision revision = servers + 10;
+  const auto backends = static_cast<std::uint32_t>(state.range(0));
+  harness.source.page(fullView(backends, 50));
+  Revision revision = backends + 10;
   for (auto _ : state) {
     ++revision;
-    const auto number = static_cast<std::uint32_t>(revision % servers);
+    const auto number = static_cast<std::uint32_t>(revision % backends);
     const bool drains = revision % 2 == 0;
-    harness.takeChange(
-        serverItem(number, revision, drains ? ServerState::Draining : ServerState::Ready));
+    harness.applyChange(
+        backendItem(number, revision, drains ? ServerState::Draining : ServerState::Ready));
   }
 }
-BENCHMARK(measureServerChange)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureServerChange)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 
 void measureRoutesChange(benchmark::State& state) {
   const SettableTime time;
   NodeHarness harness(time);
   harness.start();
-  harness.source.page(wholeView(kServers, 50));
+  harness.source.page(fullView(kBackends, 50));
   const auto routes = static_cast<std::uint32_t>(state.range(0));
-  Revision revision = kServers + 10;
+  Revision revision = kBackends + 10;
   for (auto _ : state) {
     state.PauseTiming();
     Item item = routesItem(++revision, routes);
     state.ResumeTiming();
-    harness.takeChange(std::move(item));
+    harness.applyChange(std::move(item));
   }
 }
 BENCHMARK(measureRoutesChange)->Arg(50)->Arg(kRoutes)->Unit(benchmark::kMicrosecond);
@@ -183,7 +183,7 @@
   SettableTime time;
   NodeHarness harness(time);
   harness.start();
-  harness.source.page(wholeView(static_cast<std::uint32_t>(state.range(0)), 50));
+  harness.source.page(fullView(static_cast<std::uint32_t>(state.range(0)), 50));
   std::uint16_t port = 0;
   for (auto _ : state) {
     time.elapsed += time_step;
@@ -206,14 +206,14 @@
 void measureOpening(benchmark::State& state) {
   openFlows(state, milliseconds(1));
 }
-BENCHMARK(measureOpening)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureOpening)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 void measureOpeningWithOldList(benchmark::State& state) {
   openFlows(state, milliseconds(300));
 }
-BENCHMARK(measureOpeningWithOldList)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureOpeningWithOldList)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 
-ViewBody viewBody(std::uint32_t servers) {
-  ItemPage page = wholeView(servers, 50);
+ViewBody viewBody(std::uint32_t backends) {
+  ItemPage page = fullView(backends, 50);
   ViewBody body{{}, page.at, true, {}};
   for (Item& item : page.items) {
     body.changes.push_back({std::move(item), false});
@@ -227,7 +227,7 @@
     benchmark::DoNotOptimize(encodeViewBody(body));
   }
 }
-BENCHMARK(measureEncodeView)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureEncodeView)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 
 void measureDecodeView(benchmark::State& state) {
   const Bytes bytes = encodeViewBody(viewBody(static_cast<std::uint32_t>(state.range(0))));
@@ -235,7 +235,7 @@
     benchmark::DoNotOptimize(decodeViewBody(bytes));
   }
 }
-BENCHMARK(measureDecodeView)->Arg(150)->Arg(kServers)->Unit(benchmark::kMicrosecond);
+BENCHMARK(measureDecodeView)->Arg(150)->Arg(kBackends)->Unit(benchmark::kMicrosecond);
 
 KnownPeer peerOf(std::uint32_t number) {
   return {{0x0c000000 + number, 8000}, linkClassOf(number % 50 == 0 ? 200 : 10)};
@@ -254,12 +254,12 @@
 
 void measurePeersTold(benchmark::State& state) {
   DirectoryHarness harness;
-  std::vector<KnownPeer> told;
+  std::vector<KnownPeer> reported;
   for (std::uint32_t number = 1; number <= 100; ++number) {
-    told.push_back(peerOf(number * 2));
+    reported.push_back(peerOf(number * 2));
   }
   for (auto _ : state) {
-    harness.directory.onTold(told);
+    harness.directory.onTold(reported);
   }
 }
 BENCHMARK(measurePeersTold)->Unit(benchmark::kMicrosecond);
--- a/bench/placement_comparison.cc
+++ b/bench/placement_comparison.cc
@@ -15,18 +15,18 @@
 namespace {
 
 constexpr Duration kStep = milliseconds(2);
-constexpr Duration kRun = seconds(60);
+constexpr Duration kRunDuration = seconds(60);
 constexpr Duration kWarmUp = seconds(5);
 constexpr Duration kSampleInterval = milliseconds(100);
 constexpr Duration kReportInterval = seconds(1);
 constexpr Duration kReportLag = milliseconds(500);
-constexpr Duration kBunchInterval = seconds(10);
-constexpr Duration kBunchLength = seconds(1);
-constexpr double kBunchFactor = 2;
+constexpr Duration kBurstInterval = seconds(10);
+constexpr Duration kBurstDuration = seconds(1);
+constexpr double kBurstFactor = 2;
 constexpr Duration kColdStartAt = seconds(20);
-constexpr Duration kColdStartLength = seconds(10);
+constexpr Duration kColdStartDuration = seconds(10);
 constexpr double kColdStartFactor = 4;
-constexpr Duration kMeanWork = milliseconds(100);
+constexpr Duration kMeanServiceTime = milliseconds(100);
 constexpr double kUtilization = 0.7;
 constexpr std::uint32_t kSlots = 2;
 constexpr std::uint32_t kQueueLimit = 16;
@@ -44,7 +44,7 @@
   const char* name;
   std::uint32_t balancers;
   std::uint32_t backends;
-  std::uint32_t liars;
+  std::uint32_t misreporting_backends;
 };
 
 struct Variant {
@@ -67,7 +67,7 @@
   std::deque<MonotonicTime> arrivals;
   MonotonicTime started_at;
 
-  std::size_t present() const { return busy_until.size() + arrivals.size(); }
+  std::size_t occupancy() const { return busy_until.size() + arrivals.size(); }
 };
 
 /** Report on its way from a back end to one balancer. */
@@ -130,7 +130,7 @@
   Outcome run() {
     const Duration start = time_.elapsed;
     const MonotonicTime cold_start = MonotonicTime(start + kColdStartAt);
-    while (time_.elapsed < start + kRun) {
+    while (time_.elapsed < start + kRunDuration) {
       time_.elapsed += kStep;
       const Duration since_start = time_.elapsed - start;
       if (time_.monotonicTime() == cold_start) {
@@ -140,7 +140,7 @@
       advanceBackends();
       sendReports(since_start);
       deliverReports();
-      arrive(since_start);
+      generateArrivals(since_start);
       if (since_start > kWarmUp && since_start % kSampleInterval == Duration::zero()) {
         sample();
       }
@@ -157,16 +157,16 @@
         const Duration wait = time_.monotonicTime() - backend.arrivals.front();
         outcome_.waits_ms.push_back(static_cast<double>(wait.count()) / 1000);
         backend.arrivals.pop_front();
-        backend.busy_until.push_back(time_.monotonicTime() + workTime(backend));
+        backend.busy_until.push_back(time_.monotonicTime() + serviceTime(backend));
       }
     }
   }
 
-  Duration workTime(const QueueingBackend& backend) {
+  Duration serviceTime(const QueueingBackend& backend) {
     const bool cold = backend.started_at != MonotonicTime() &&
-                      time_.monotonicTime() - backend.started_at < kColdStartLength;
+                      time_.monotonicTime() - backend.started_at < kColdStartDuration;
     const double factor = cold ? kColdStartFactor : 1;
-    const double mean = static_cast<double>(kMeanWork.count()) * factor;
+    const double mean = static_cast<double>(kMeanServiceTime.count()) * factor;
     return Duration(static_cast<std::int64_t>(-mean * std::log(1 - random_->unit())));
   }
 
@@ -185,12 +185,12 @@
 
   BackendReport reportOf(std::uint32_t index) const {
     const QueueingBackend& backend = backends_[index];
-    const bool lies = index < fleet_.liars;
+    const bool misreports = index < fleet_.misreporting_backends;
     BackendReport report;
     report.backend = BackendId(index + 1);
     report.reachable = true;
-    report.busy_slots = lies ? 0 : static_cast<std::uint32_t>(backend.busy_until.size());
-    report.queued_requests = lies ? 0 : static_cast<std::uint32_t>(backend.arrivals.size());
+    report.busy_slots = misreports ? 0 : static_cast<std::uint32_t>(backend.busy_until.size());
+    report.queued_requests = misreports ? 0 : static_cast<std::uint32_t>(backend.arrivals.size());
     report.open_connections = report.busy_slots + report.queued_requests;
     const Duration uptime = time_.monotonicTime() - backend.started_at;
     report.uptime_ms = static_cast<std::uint32_t>(uptime / milliseconds(1));
@@ -205,13 +205,13 @@
     }
   }
 
-  void arrive(Duration since_start) {
+  void generateArrivals(Duration since_start) {
     const double capacity =
-        fleet_.backends * kSlots / std::chrono::duration<double>(kMeanWork).count();
-    const bool bunch = since_start % kBunchInterval < kBunchLength;
-    const double rate = capacity * kUtilization * (bunch ? kBunchFactor : 1);
-    due_ += rate * std::chrono::duration<double>(kStep).count() * 2 * random_->unit();
-    for (; due_ >= 1; due_ -= 1) {
+        fleet_.backends * kSlots / std::chrono::duration<double>(kMeanServiceTime).count();
+    const bool burst = since_start % kBurstInterval < kBurstDuration;
+    const double rate = capacity * kUtilization * (burst ? kBurstFactor : 1);
+    pending_arrivals_ += rate * std::chrono::duration<double>(kStep).count() * 2 * random_->unit();
+    for (; pending_arrivals_ >= 1; pending_arrivals_ -= 1) {
       ++outcome_.requests;
       request();
     }
@@ -246,8 +246,8 @@
     std::size_t busiest = 0;
     std::size_t sum = 0;
     for (const QueueingBackend& backend : backends_) {
-      busiest = std::max(busiest, backend.present());
-      sum += backend.present();
+      busiest = std::max(busiest, backend.occupancy());
+      sum += backend.occupancy();
     }
     if (sum > 0) {
       const double mean = static_cast<double>(sum) / static_cast<double>(backends_.size());
@@ -262,16 +262,16 @@
   std::vector<QueueingBackend> backends_;
   std::vector<std::unique_ptr<Balancer>> balancers_;
   std::priority_queue<PendingReport> pending_;
-  double due_ = 0;
+  double pending_arrivals_ = 0;
   Outcome outcome_;
 };
 
-double percentile(std::vector<double> values, double part) {
+double percentile(std::vector<double> values, double fraction) {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
-  return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
 void append(std::vector<double>& to, const std::vector<double>& from) {
--- a/src/programs/sim_run.cc
+++ b/src/programs/sim_run.cc
@@ -89,13 +89,13 @@
   for (const CallRecord& call : observations.calls) {
     if (!call.result) {
       std::cerr << Json({{"never_ended", toString(call.flow)},
-                         {"began", secondsSinceStart(call.began_at)}})
+                         {"began", secondsSinceStart(call.started_at)}})
                 << "\n";
     }
     for (const BreakObservation& broken : call.breaks) {
       const Json line = {
           {"break", toString(broken.key.flow)},     {"attempt", broken.key.attempt},
-          {"kind", static_cast<int>(call.kind)},    {"began", secondsSinceStart(call.began_at)},
+          {"kind", static_cast<int>(call.kind)},    {"began", secondsSinceStart(call.started_at)},
           {"at", secondsSinceStart(broken.at)},     {"reason", toString(broken.reason)},
           {"backend", backends[broken.key].value()}};
       std::cerr << line.dump() << "\n";
--- a/src/sim/backend_model.cc
+++ b/src/sim/backend_model.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kPastReportsKept = 1000;
+constexpr std::size_t kMaxPastReports = 1000;
 
 }  // namespace
 
@@ -53,13 +53,13 @@
   }
   auto found = flows_.find(data.key);
   if (found == flows_.end()) {
-    if (mayHaveRunBeforeRestart(data) || mayHaveBeenForgotten(data)) {
+    if (mayHaveRunBeforeRestart(data) || mayHaveExpired(data)) {
       sendRefusal(balancer, forward.caller, data.key, Reason::BackendGone, false);
       return;
     }
     const Reason blocked_by = admissionBlockedBy(data, forward);
     if (blocked_by != Reason::None) {
-      rememberRefusal(data.key, blocked_by);
+      recordRefusal(data.key, blocked_by);
       sendRefusal(balancer, forward.caller, data.key, blocked_by, true);
       return;
     }
@@ -71,13 +71,13 @@
     sendRefusal(balancer, forward.caller, data.key, flow.refusal, true);
     return;
   }
-  flow.caller = forward.caller;
+  flow.client = forward.caller;
   flow.balancer = balancer;
-  flow.last_heard_at = time_source_.monotonicTime();
+  flow.last_received_at = time_source_.monotonicTime();
   if (flow.state == FlowState::Receiving) {
-    takePiece(flow, data);
+    acceptPiece(flow, data);
   }
-  sender_.sendDatagram(flow.caller, DataAck{data.key, flow.next_piece});
+  sender_.sendDatagram(flow.client, DataAck{data.key, flow.next_piece});
   const bool complete = flow.last_piece && flow.next_piece > *flow.last_piece;
   if (flow.state == FlowState::Receiving && complete) {
     onRequestComplete(data.key, flow);
@@ -95,25 +95,25 @@
     sendRefusal(balancer, forward.caller, ack.key, flow.refusal, true);
     return;
   }
-  flow.caller = forward.caller;
+  flow.client = forward.caller;
   flow.balancer = balancer;
-  flow.last_heard_at = time_source_.monotonicTime();
-  flow.answers_confirmed = std::max(flow.answers_confirmed, ack.next_expected);
-  if (flow.state == FlowState::Answering && flow.answers_confirmed >= flow.order.answer_pieces) {
+  flow.last_received_at = time_source_.monotonicTime();
+  flow.answers_acknowledged = std::max(flow.answers_acknowledged, ack.next_expected);
+  if (flow.state == FlowState::Answering && flow.answers_acknowledged >= flow.order.answer_pieces) {
     endFlow(flow);
     return;
   }
-  sender_.sendDatagram(flow.caller, DataAck{ack.key, flow.next_piece});
+  sender_.sendDatagram(flow.client, DataAck{ack.key, flow.next_piece});
 }
 
 void BackendModel::onCancel(const Cancel& cancel, const Forward& forward, Endpoint balancer) {
   const auto found = flows_.find(cancel.key);
   if (found == flows_.end()) {
-    rememberRefusal(cancel.key, Reason::Cancelled);
+    recordRefusal(cancel.key, Reason::Cancelled);
     return;
   }
   Flow& flow = found->second;
-  flow.caller = forward.caller;
+  flow.client = forward.caller;
   flow.balancer = balancer;
   if (flow.state == FlowState::Receiving || flow.state == FlowState::Queued) {
     refuseAdmitted(cancel.key, flow, Reason::Cancelled);
@@ -130,9 +130,9 @@
   return tokenPlacementTime(data.token) < started_at_system_ + settings_.clock_skew;
 }
 
-bool BackendModel::mayHaveBeenForgotten(const Data& data) const {
+bool BackendModel::mayHaveExpired(const Data& data) const {
   const Duration age = time_source_.systemTime() - tokenPlacementTime(data.token);
-  return age >= settings_.memory - settings_.clock_skew;
+  return age >= settings_.ended_flow_ttl - settings_.clock_skew;
 }
 
 Reason BackendModel::admissionBlockedBy(const Data& data, const Forward& forward) const {
@@ -154,7 +154,7 @@
 BackendModel::Flow& BackendModel::admit(const Data& data, const Forward& forward) {
   Flow& flow = flows_[data.key];
   ++open_flows_;
-  flow.caller = forward.caller;
+  flow.client = forward.caller;
   flow.record.key = data.key;
   flow.record.placed_at = tokenPlacementTime(data.token);
   flow.record.admitted_at = time_source_.systemTime();
@@ -164,23 +164,23 @@
   return flow;
 }
 
-void BackendModel::takePiece(Flow& flow, const Data& data) {
+void BackendModel::acceptPiece(Flow& flow, const Data& data) {
   if (data.last) {
     flow.last_piece = data.sequence;
   }
   if (data.sequence < flow.next_piece) {
     return;
   }
-  flow.pieces_ahead.emplace(data.sequence, data.payload);
-  auto piece = flow.pieces_ahead.find(flow.next_piece);
-  while (piece != flow.pieces_ahead.end()) {
+  flow.out_of_order_pieces.emplace(data.sequence, data.payload);
+  auto piece = flow.out_of_order_pieces.find(flow.next_piece);
+  while (piece != flow.out_of_order_pieces.end()) {
     if (flow.next_piece == 0) {
       const auto order = decodeWorkOrder(piece->second);
       flow.order = order ? order.value() : WorkOrder{};
     }
-    flow.pieces_ahead.erase(piece);
+    flow.out_of_order_pieces.erase(piece);
     ++flow.next_piece;
-    piece = flow.pieces_ahead.find(flow.next_piece);
+    piece = flow.out_of_order_pieces.find(flow.next_piece);
   }
 }
 
@@ -218,19 +218,19 @@
   const MonotonicTime now = time_source_.monotonicTime();
   for (auto entry = flows_.begin(); entry != flows_.end();) {
     Flow& flow = entry->second;
-    const bool over = flow.state == FlowState::Ended || flow.state == FlowState::Refused;
-    if (over && now - flow.ended_at >= settings_.memory) {
+    const bool finished = flow.state == FlowState::Ended || flow.state == FlowState::Refused;
+    if (finished && now - flow.ended_at >= settings_.ended_flow_ttl) {
       entry = flows_.erase(entry);
       continue;
     }
-    if (!over) {
+    if (!finished) {
       advance(entry->first, flow, now);
     }
     ++entry;
   }
   startQueuedWork();
   past_reports_.push_back(currentReport());
-  if (past_reports_.size() > kPastReportsKept) {
+  if (past_reports_.size() > kMaxPastReports) {
     past_reports_.pop_front();
   }
 }
@@ -238,7 +238,7 @@
 void BackendModel::advance(const FlowKey& key, Flow& flow, MonotonicTime now) {
   const bool deadline_passed = flow.has_deadline && now >= flow.deadline;
   const bool not_started = flow.state == FlowState::Receiving || flow.state == FlowState::Queued;
-  const bool abandoned = now - flow.last_heard_at >= settings_.idle_timeout;
+  const bool abandoned = now - flow.last_received_at >= settings_.idle_timeout;
   if (not_started && (deadline_passed || abandoned)) {
     refuseAdmitted(key, flow, Reason::DeadlineExceeded);
     return;
@@ -250,9 +250,9 @@
   if (flow.state == FlowState::Working && now >= flow.work_ends_at) {
     --busy_slots_;
     flow.state = FlowState::Answering;
-    flow.answer_began_at = now;
+    flow.answer_started_at = now;
     flow.answers_sent = flow.order.first_answer_piece;
-    flow.answers_confirmed = std::max(flow.answers_confirmed, flow.order.first_answer_piece);
+    flow.answers_acknowledged = std::max(flow.answers_acknowledged, flow.order.first_answer_piece);
   }
   if (flow.state == FlowState::Answering) {
     sendAnswers(key, flow, now);
@@ -261,7 +261,7 @@
 
 void BackendModel::sendAnswers(const FlowKey& key, Flow& flow, MonotonicTime now) {
   const std::uint32_t due = answersDue(flow, now);
-  const std::uint32_t window_end = flow.answers_confirmed + settings_.answer_window;
+  const std::uint32_t window_end = flow.answers_acknowledged + settings_.answer_window;
   const std::uint32_t sent_before = flow.answers_sent;
   while (flow.answers_sent < std::min(due, window_end)) {
     sendAnswer(key, flow, flow.answers_sent);
@@ -270,9 +270,9 @@
   if (flow.answers_sent != sent_before) {
     flow.next_resend_at = now + settings_.resend_interval;
   }
-  if (now >= flow.next_resend_at && flow.answers_confirmed < flow.answers_sent) {
+  if (now >= flow.next_resend_at && flow.answers_acknowledged < flow.answers_sent) {
     flow.next_resend_at = now + settings_.resend_interval;
-    for (std::uint32_t sequence = flow.answers_confirmed; sequence < flow.answers_sent;
+    for (std::uint32_t sequence = flow.answers_acknowledged; sequence < flow.answers_sent;
          ++sequence) {
       sendAnswer(key, flow, sequence);
     }
@@ -287,14 +287,14 @@
   answer.sequence = sequence;
   answer.last = sequence + 1 >= flow.order.answer_pieces;
   answer.payload = answerPayload(settings_.service, key.flow, sequence);
-  sender_.sendDatagram(flow.caller, answer);
+  sender_.sendDatagram(flow.client, answer);
 }
 
 std::uint32_t BackendModel::answersDue(const Flow& flow, MonotonicTime now) const {
   if (flow.order.answer_interval_ms == 0) {
     return flow.order.answer_pieces;
   }
-  const Duration elapsed = now - flow.answer_began_at;
+  const Duration elapsed = now - flow.answer_started_at;
   const auto intervals = elapsed / milliseconds(flow.order.answer_interval_ms);
   const std::uint64_t due =
       flow.order.first_answer_piece + 1 + static_cast<std::uint64_t>(intervals);
@@ -305,20 +305,20 @@
   endFlow(flow);
   flow.state = FlowState::Refused;
   flow.refusal = reason;
-  sendRefusal(flow.balancer, flow.caller, key, reason, true);
+  sendRefusal(flow.balancer, flow.client, key, reason, true);
 }
 
-void BackendModel::rememberRefusal(const FlowKey& key, Reason reason) {
+void BackendModel::recordRefusal(const FlowKey& key, Reason reason) {
   Flow& flow = flows_[key];
   flow.state = FlowState::Refused;
   flow.refusal = reason;
   flow.ended_at = time_source_.monotonicTime();
 }
 
-void BackendModel::sendRefusal(Endpoint balancer, Endpoint caller, const FlowKey& key,
+void BackendModel::sendRefusal(Endpoint balancer, Endpoint client, const FlowKey& key,
                                Reason reason, bool not_run) {
   sender_.sendDatagram(balancer,
-                       BackendRefusal{caller, key, settings_.service, settings_.id, reason, not_run,
+                       BackendRefusal{client, key, settings_.service, settings_.id, reason, not_run,
                                       toWireMilliseconds(settings_.retry_after)});
 }
 
--- a/src/sim/backend_model.h
+++ b/src/sim/backend_model.h
@@ -33,7 +33,7 @@
   /** Largest difference between two machines' wall clocks. */
   Duration clock_skew = milliseconds(500);
   /** Ended and refused attempts are remembered this long, so that late copies do nothing. */
-  Duration memory = seconds(60);
+  Duration ended_flow_ttl = seconds(60);
   /** A flow that the caller has not confirmed for this long is dropped. */
   Duration idle_timeout = seconds(30);
   Duration resend_interval = milliseconds(200);
@@ -91,9 +91,9 @@
 
   struct Flow {
     FlowState state = FlowState::Receiving;
-    Endpoint caller;
+    Endpoint client;
     Endpoint balancer;
-    std::map<std::uint32_t, Bytes> pieces_ahead;
+    std::map<std::uint32_t, Bytes> out_of_order_pieces;
     std::uint32_t next_piece = 0;
     std::optional<std::uint32_t> last_piece;
     WorkOrder order;
@@ -101,11 +101,11 @@
     bool has_deadline = false;
     MonotonicTime deadline;
     MonotonicTime work_ends_at;
-    MonotonicTime answer_began_at;
+    MonotonicTime answer_started_at;
     std::uint32_t answers_sent = 0;
-    std::uint32_t answers_confirmed = 0;
+    std::uint32_t answers_acknowledged = 0;
     MonotonicTime next_resend_at;
-    MonotonicTime last_heard_at;
+    MonotonicTime last_received_at;
     MonotonicTime ended_at;
     Reason refusal = Reason::None;
   };
@@ -120,7 +120,7 @@
   bool mayHaveRunBeforeRestart(const Data& data) const;
 
   /** An attempt placed so long ago may have run, ended and been forgotten since. */
-  bool mayHaveBeenForgotten(const Data& data) const;
+  bool mayHaveExpired(const Data& data) const;
 
   /**
    * Right after a start, placements can't be told from those of an earlier life, because clocks
@@ -128,7 +128,7 @@
    */
   bool isReady() const;
   Flow& admit(const Data& data, const Forward& forward);
-  void takePiece(Flow& flow, const Data& data);
+  void acceptPiece(Flow& flow, const Data& data);
   void onRequestComplete(const FlowKey& key, Flow& flow);
   void startQueuedWork();
   void startWork(const FlowKey& key, Flow& flow);
@@ -137,8 +137,8 @@
   void sendAnswer(const FlowKey& key, const Flow& flow, std::uint32_t sequence);
   std::uint32_t answersDue(const Flow& flow, MonotonicTime now) const;
   void refuseAdmitted(const FlowKey& key, Flow& flow, Reason reason);
-  void rememberRefusal(const FlowKey& key, Reason reason);
-  void sendRefusal(Endpoint balancer, Endpoint caller, const FlowKey& key, Reason reason,
+  void recordRefusal(const FlowKey& key, Reason reason);
+  void sendRefusal(Endpoint balancer, Endpoint client, const FlowKey& key, Reason reason,
                    bool not_run);
   void endFlow(Flow& flow);
   Duration workDuration(const WorkOrder& order) const;
--- a/src/sim/baseline_router.cc
+++ b/src/sim/baseline_router.cc
@@ -36,7 +36,7 @@
       return;
     }
     if (const auto* sprayed = std::get_if<Sprayed>(&decoded.value())) {
-      onCallerDatagram(sprayed->datagram, sprayed->caller);
+      onClientDatagram(sprayed->datagram, sprayed->caller);
     } else if (const auto* refusal = std::get_if<BackendRefusal>(&decoded.value())) {
       onBackendRefusal(*refusal);
     }
@@ -48,29 +48,29 @@
                                 const Backends& candidates) = 0;
 
  private:
-  void onCallerDatagram(const Bytes& bytes, Endpoint caller) {
+  void onClientDatagram(const Bytes& bytes, Endpoint client) {
     const auto decoded = decodeDatagram(bytes);
     if (!decoded) {
       return;
     }
     const Datagram& datagram = decoded.value();
     if (const auto* open = std::get_if<Open>(&datagram)) {
-      onOpen(*open, caller);
+      onOpen(*open, client);
     } else if (const auto* data = std::get_if<Data>(&datagram)) {
-      forward(data->service, data->key, bytes, caller);
+      forward(data->service, data->key, bytes, client);
     } else if (const auto* ack = std::get_if<AnswerAck>(&datagram)) {
-      forward(ack->service, ack->key, bytes, caller);
+      forward(ack->service, ack->key, bytes, client);
     } else if (const auto* cancel = std::get_if<Cancel>(&datagram)) {
-      forward(cancel->service, cancel->key, bytes, caller);
+      forward(cancel->service, cancel->key, bytes, client);
     }
   }
 
-  void onOpen(const Open& open, Endpoint caller) {
+  void onOpen(const Open& open, Endpoint client) {
     const ConfigurationView& view = *node_.configuration().inForce();
     const Backend* backend = chooseFor(open.service, open.key);
     if (backend == nullptr) {
       sender_.sendDatagram(
-          caller, Refused{open.key, Reason::NoBackendInAllowedZones, kRetryAfterMilliseconds, {}});
+          client, Refused{open.key, Reason::NoBackendInAllowedZones, kRetryAfterMilliseconds, {}});
       return;
     }
     // Callers and back ends want a token for its time of placement; nobody routes by this one.
@@ -82,13 +82,13 @@
     placement.backend_address = backend->address;
     placement.config_version = view.version();
     placement.placed_at = time_source_.systemTime();
-    sender_.sendDatagram(caller, Placed{open.key, sealToken(placement, *view.sealingKey())});
+    sender_.sendDatagram(client, Placed{open.key, sealToken(placement, *view.sealingKey())});
   }
 
-  void forward(Endpoint service, const FlowKey& key, const Bytes& bytes, Endpoint caller) {
+  void forward(Endpoint service, const FlowKey& key, const Bytes& bytes, Endpoint client) {
     const Backend* backend = chooseFor(service, key);
     if (backend != nullptr) {
-      sender_.sendDatagram(backend->address, Forward{caller, backend->id, backend->service,
+      sender_.sendDatagram(backend->address, Forward{client, backend->id, backend->service,
                                                      ForwardMode::MayStart, bytes});
     }
   }
--- a/src/sim/call_generator.cc
+++ b/src/sim/call_generator.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Endpoint kCallerAddress{0x0a090001, 5000};
+constexpr Endpoint kClientAddress{0x0a090001, 5000};
 constexpr Duration kTickInterval = milliseconds(20);
 /** Calls begin when the fleet has had the time to read its configuration. */
 constexpr Duration kWarmUp = seconds(3);
@@ -16,9 +16,9 @@
 }  // namespace
 
 CallGenerator::CallGenerator(const Scenario& scenario, Fleet& fleet)
-    : scenario_(scenario), fleet_(fleet), process_(fleet.callers()) {
+    : scenario_(scenario), fleet_(fleet), process_(fleet.clients()) {
   fleet_.network().attachDatagrams(
-      kCallerAddress, process_,
+      kClientAddress, process_,
       [this](std::span<const std::uint8_t> bytes, Endpoint) { onDatagram(bytes); });
 }
 
@@ -41,7 +41,7 @@
   return fleet_.queue().now() >= ends_at_ && calls_.empty();
 }
 
-void CallGenerator::recordUnended() {
+void CallGenerator::recordUnfinished() {
   for (const auto& [flow, call] : calls_) {
     finish(call);
   }
@@ -86,8 +86,8 @@
   ActiveCall call;
   call.record.service = service->id;
   call.record.kind = mix.order.kind;
-  call.record.pieces_wanted = mix.order.answer_pieces;
-  call.record.began_at = fleet_.queue().now();
+  call.record.expected_pieces = mix.order.answer_pieces;
+  call.record.started_at = fleet_.queue().now();
   call.model = std::make_unique<CallerModel>(
       CallerSettings(), service->address, service->id, mix.order, mix.deadline,
       process_.timeSource(), fleet_.random(), [this](const Datagram& datagram) { send(datagram); });
@@ -100,8 +100,8 @@
   const Endpoint balancer = fleet_.fabric().choose();
   if (balancer.isSet()) {
     fleet_.network().sendDatagram(
-        process_, kCallerAddress, balancer,
-        encodeDatagram(Sprayed{kCallerAddress, encodeDatagram(datagram)}));
+        process_, kClientAddress, balancer,
+        encodeDatagram(Sprayed{kClientAddress, encodeDatagram(datagram)}));
   }
 }
 
--- a/src/sim/call_generator.h
+++ b/src/sim/call_generator.h
@@ -21,7 +21,7 @@
   bool isDone() const;
 
   /** Records the calls that have not ended; to be called once, at the end. */
-  void recordUnended();
+  void recordUnfinished();
 
  private:
   struct ActiveCall {
--- a/src/sim/fault_injector.cc
+++ b/src/sim/fault_injector.cc
@@ -5,11 +5,11 @@
 namespace {
 
 /** A back end that stands still for longer can't be told from a dead one by its callers. */
-constexpr Duration kLongestHarmlessPause = seconds(2);
+constexpr Duration kMaxTolerablePause = seconds(2);
 /** After a restart, placements of balancers that did not notice it look as if made before it. */
-constexpr Duration kRestartDoubt = seconds(1);
-constexpr Duration kColdStartTime = seconds(10);
-constexpr Duration kRaceTime = seconds(2);
+constexpr Duration kRestartUncertainty = seconds(1);
+constexpr Duration kColdStartDuration = seconds(10);
+constexpr Duration kRaceDuration = seconds(2);
 
 }  // namespace
 
@@ -54,7 +54,7 @@
     case FaultKind::Loss:
       return lossyLinks(fault);
     case FaultKind::WithdrawZone:
-      return planned_work_.withdrawZone(fault.target, fault.peer);
+      return planned_maintenance_.withdrawZone(fault.target, fault.peer);
   }
 }
 
@@ -64,7 +64,7 @@
       return;
     }
     fleet_.killBalancer(*balancer);
-    after(fault.duration, [this, balancer] {
+    scheduleEnd(fault.duration, [this, balancer] {
       if (!balancer->process().isRunning()) {
         fleet_.startBalancer(*balancer);
       }
@@ -77,7 +77,7 @@
   }
   recordOutage(backend->declared().id, fault.duration);
   backend->kill();
-  after(fault.duration, [backend] {
+  scheduleEnd(fault.duration, [backend] {
     if (!backend->process().isRunning()) {
       backend->start(Duration::zero());
     }
@@ -89,14 +89,14 @@
   SimulatedBackend* backend = fleet_.backend(fault.target);
   SimulatedProcess& process = backend != nullptr    ? backend->process()
                               : balancer != nullptr ? balancer->process()
-                                                    : fleet_.callers();
+                                                    : fleet_.clients();
   if (!process.isRunning() || process.isPaused()) {
     return;
   }
   const MonotonicTime now = fleet_.queue().now();
   if (balancer != nullptr) {
     fleet_.observations().node_pauses.emplace(fault.target, Interval{now, now + fault.duration});
-  } else if (backend != nullptr && fault.duration > kLongestHarmlessPause) {
+  } else if (backend != nullptr && fault.duration > kMaxTolerablePause) {
     recordOutage(backend->declared().id, fault.duration);
   }
   process.pause();
@@ -128,13 +128,13 @@
   if (fault.peer == "*") {
     peers = fleet_.zoneNames();
   }
-  std::string own_zone = fault.target;
+  std::string local_zone = fault.target;
   if (SimulatedNode* balancer = fleet_.balancer(fault.target)) {
-    own_zone = balancer->process().zone();
+    local_zone = balancer->process().zone();
   } else if (SimulatedBackend* backend = fleet_.backend(fault.target)) {
-    own_zone = backend->process().zone();
+    local_zone = backend->process().zone();
   }
-  std::erase(peers, own_zone);
+  std::erase(peers, local_zone);
   recordIsolation(fault.duration);
   for (const std::string& peer : peers) {
     fleet_.network().cut(fault.target, peer);
@@ -142,7 +142,7 @@
       fleet_.network().cut(peer, fault.target);
     }
   }
-  after(fault.duration, [this, peers, target = fault.target] {
+  scheduleEnd(fault.duration, [this, peers, target = fault.target] {
     for (const std::string& peer : peers) {
       fleet_.network().heal(target, peer);
       fleet_.network().heal(peer, target);
@@ -150,10 +150,10 @@
   });
 }
 
-void FaultInjector::drain(const Fault& fault, bool told) {
+void FaultInjector::drain(const Fault& fault, bool notify_backend) {
   SimulatedBackend* backend = fleet_.backend(fault.target);
-  planned_work_.startDrain(*backend, told);
-  after(fault.duration, [this, backend] { planned_work_.endDrain(*backend); });
+  planned_maintenance_.startDrain(*backend, notify_backend);
+  scheduleEnd(fault.duration, [this, backend] { planned_maintenance_.endDrain(*backend); });
 }
 
 void FaultInjector::coldStart(const Fault& fault) {
@@ -163,9 +163,9 @@
   }
   recordOutage(backend->declared().id, fault.duration);
   backend->kill();
-  after(fault.duration, [backend] {
+  scheduleEnd(fault.duration, [backend] {
     if (!backend->process().isRunning()) {
-      backend->start(kColdStartTime);
+      backend->start(kColdStartDuration);
     }
   });
 }
@@ -176,7 +176,7 @@
     return;
   }
   backend->model()->setShedding(true);
-  after(fault.duration, [backend] {
+  scheduleEnd(fault.duration, [backend] {
     if (backend->model() != nullptr) {
       backend->model()->setShedding(false);
     }
@@ -189,7 +189,7 @@
     return;
   }
   backend->model()->setDistortion({fault.factor, fault.lag});
-  after(fault.duration, [backend] {
+  scheduleEnd(fault.duration, [backend] {
     if (backend->model() != nullptr) {
       backend->model()->setDistortion({});
     }
@@ -200,7 +200,7 @@
   recordIsolation(fault.duration);
   for (const std::size_t replica : replicasOf(fault)) {
     fleet_.platform().setOutage(replica, true);
-    after(fault.duration, [this, replica] { fleet_.platform().setOutage(replica, false); });
+    scheduleEnd(fault.duration, [this, replica] { fleet_.platform().setOutage(replica, false); });
   }
 }
 
@@ -208,20 +208,20 @@
   recordIsolation(fault.duration);
   for (const std::size_t replica : replicasOf(fault)) {
     fleet_.platform().freeze(replica);
-    after(fault.duration, [this, replica] { fleet_.platform().thaw(replica); });
+    scheduleEnd(fault.duration, [this, replica] { fleet_.platform().unfreeze(replica); });
   }
 }
 
 void FaultInjector::configurationRace(const Fault&) {
   fleet_.publishConflict();
-  fleet_.queue().scheduleAfter(kRaceTime, [this] { fleet_.publish([](Configuration&) {}); });
+  fleet_.queue().scheduleAfter(kRaceDuration, [this] { fleet_.publish([](Configuration&) {}); });
 }
 
 void FaultInjector::plannedStop(const Fault& fault) {
   if (SimulatedNode* balancer = fleet_.balancer(fault.target)) {
-    planned_work_.stopBalancer(*balancer, fault.duration, [] {});
+    planned_maintenance_.stopBalancer(*balancer, fault.duration, [] {});
   } else {
-    planned_work_.stopBackend(*fleet_.backend(fault.target), fault.duration, [] {});
+    planned_maintenance_.stopBackend(*fleet_.backend(fault.target), fault.duration, [] {});
   }
 }
 
@@ -238,14 +238,14 @@
       names.push_back(backend->declared().name);
     }
   }
-  planned_work_.restartOneAfterTheOther(std::move(names), seconds(1));
+  planned_maintenance_.restartSequentially(std::move(names), seconds(1));
 }
 
 void FaultInjector::lossyLinks(const Fault& fault) {
   LinkSettings& links = fleet_.network().settings();
   links.loss += fault.factor;
   links.duplication += fault.factor;
-  after(fault.duration, [&links, factor = fault.factor] {
+  scheduleEnd(fault.duration, [&links, factor = fault.factor] {
     links.loss -= factor;
     links.duplication -= factor;
   });
@@ -253,8 +253,9 @@
 
 void FaultInjector::recordOutage(BackendId backend, Duration duration) {
   const MonotonicTime now = fleet_.queue().now();
-  const bool for_good = duration == Duration::zero();
-  const MonotonicTime until = for_good ? MonotonicTime::max() : now + duration + kRestartDoubt;
+  const bool permanent = duration == Duration::zero();
+  const MonotonicTime until =
+      permanent ? MonotonicTime::max() : now + duration + kRestartUncertainty;
   fleet_.observations().unplanned_outages.emplace(backend, Interval{now, until});
 }
 
@@ -264,7 +265,7 @@
   fleet_.observations().isolation.push_back({now, until});
 }
 
-void FaultInjector::after(Duration duration, std::function<void()> function) {
+void FaultInjector::scheduleEnd(Duration duration, std::function<void()> function) {
   if (duration > Duration::zero()) {
     fleet_.queue().scheduleAfter(duration, std::move(function));
   }
--- a/src/sim/fault_injector.h
+++ b/src/sim/fault_injector.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "sim/planned_work.h"
+#include "sim/planned_maintenance.h"
 
 namespace lugfork {
 
 /** Makes the faults of a table happen in a fleet, and records them for the checks. */
 class FaultInjector {
  public:
-  explicit FaultInjector(Fleet& fleet) : fleet_(fleet), planned_work_(fleet) {}
+  explicit FaultInjector(Fleet& fleet) : fleet_(fleet), planned_maintenance_(fleet) {}
 
   /** Schedules all faults; their times count from now. */
   void schedule(const std::vector<Fault>& faults);
@@ -19,7 +19,7 @@
   void pause(const Fault& fault);
   void holdOutput(const Fault& fault);
   void cut(const Fault& fault);
-  void drain(const Fault& fault, bool told);
+  void drain(const Fault& fault, bool notify_backend);
   void coldStart(const Fault& fault);
   void shed(const Fault& fault);
   void distortLoad(const Fault& fault);
@@ -34,11 +34,11 @@
   void recordIsolation(Duration duration);
 
   /** Runs a function after the duration, unless that is 0: then the fault stays. */
-  void after(Duration duration, std::function<void()> function);
+  void scheduleEnd(Duration duration, std::function<void()> function);
   std::vector<std::size_t> replicasOf(const Fault& fault) const;
 
   Fleet& fleet_;
-  PlannedWork planned_work_;
+  PlannedMaintenance planned_maintenance_;
 };
 
 }  // namespace lugfork
--- a/src/sim/fault_table.cc
+++ b/src/sim/fault_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint32_t kLongestMilliseconds = 600000;
+constexpr std::uint32_t kMaxMilliseconds = 600000;
 
 /** Names that a fault's target may take. */
 std::vector<std::string> targetsOf(FaultKind kind, const Scenario& scenario) {
@@ -86,7 +86,7 @@
 Fault readFault(TomlReader& reader, const Scenario& scenario) {
   Fault fault;
   fault.kind = static_cast<FaultKind>(reader.choice("kind", faultKindNames()));
-  fault.at = reader.milliseconds("at_ms", kLongestMilliseconds, {});
+  fault.at = reader.milliseconds("at_ms", kMaxMilliseconds, {});
   const std::vector<std::string> targets = targetsOf(fault.kind, scenario);
   if (!targets.empty()) {
     fault.target = targets[reader.choice("target", targets)];
@@ -95,11 +95,11 @@
   if (!peers.empty()) {
     fault.peer = peers[reader.choice("peer", peers)];
   }
-  fault.duration = reader.milliseconds("for_ms", kLongestMilliseconds, {});
-  fault.one_way = reader.flag("one_way", false);
+  fault.duration = reader.milliseconds("for_ms", kMaxMilliseconds, {});
+  fault.one_way = reader.boolean("one_way", false);
   fault.factor = reader.number("factor", 0, 100, 1);
   fault.lag = reader.milliseconds("lag_ms", 60000, {});
-  reader.finish();
+  reader.rejectUnknownKeys();
   return fault;
 }
 
@@ -153,7 +153,7 @@
     for (TomlReader& entry : reader.tables("faults")) {
       faults.push_back(readFault(entry, scenario));
     }
-    reader.finish();
+    reader.rejectUnknownKeys();
     return faults;
   } catch (const TomlReadError& error) {
     return ScenarioError{error.what()};
@@ -220,9 +220,9 @@
     return names.empty() ? std::string() : names[random_->below(names.size())];
   }
 
-  Duration between(Duration lowest, Duration highest) {
-    const auto width = static_cast<std::uint64_t>((highest - lowest).count());
-    return lowest + Duration(random_->below(width));
+  Duration between(Duration min, Duration max) {
+    const auto width = static_cast<std::uint64_t>((max - min).count());
+    return min + Duration(random_->below(width));
   }
 
   const Scenario& scenario_;
--- a/src/sim/fleet.cc
+++ b/src/sim/fleet.cc
@@ -32,7 +32,7 @@
       network_(queue_, *random_, scenario.links),
       platform_(queue_, network_, *random_),
       fabric_(*random_, scenario.health_lag),
-      callers_(queue_, "callers", kCallerZone, Duration::zero()),
+      clients_(queue_, "callers", kClientZone, Duration::zero()),
       view_(viewOf(scenario.configuration)) {
   const std::vector<std::string> zones = zoneNames();
   for (std::uint32_t replica = 0; replica < scenario.platform_replicas; ++replica) {
@@ -84,7 +84,7 @@
 void Fleet::startBalancer(SimulatedNode& balancer) {
   balancer.start();
   const NodeSettings& settings = balancer.settings();
-  observations_.node_lives.emplace(settings.name, Interval{queue_.now(), MonotonicTime::max()});
+  observations_.node_uptimes.emplace(settings.name, Interval{queue_.now(), MonotonicTime::max()});
   const Endpoint data_address = balancer.dataAddress();
   const Endpoint api_address{data_address.address, kApiPort};
   machines_[settings.name] = {settings.name,         settings.zone, data_address,
@@ -96,7 +96,7 @@
   balancer.kill();
   const std::string& name = balancer.settings().name;
   // The lives of one name are in order: the last one is the one that ends here.
-  std::prev(observations_.node_lives.upper_bound(name))->second.until = queue_.now();
+  std::prev(observations_.node_uptimes.upper_bound(name))->second.until = queue_.now();
   machines_.erase(name);
   updateMachineList();
 }
@@ -141,7 +141,7 @@
 }
 
 void Fleet::addBalancers(const Scenario& scenario, const FleetOptions& options) {
-  NodeSurroundings& surroundings = *this;
+  NodeEnvironment& surroundings = *this;
   std::uint32_t host = kBalancerNetwork;
   for (const std::string& name : balancerNames(scenario)) {
     ++host;
--- a/src/sim/fleet.h
+++ b/src/sim/fleet.h
@@ -21,7 +21,7 @@
 };
 
 /** All machines of a scenario: balancers, back ends, platform and fabric, and their network. */
-class Fleet : private NodeSurroundings {
+class Fleet : private NodeEnvironment {
  public:
   Fleet(const Scenario& scenario, const FleetOptions& options, Observations& observations);
 
@@ -33,7 +33,7 @@
   RandomGenerator& random() { return *random_; }
   FabricModel& fabric() { return fabric_; }
   /** @return the process that all callers share. */
-  SimulatedProcess& callers() { return callers_; }
+  SimulatedProcess& clients() { return clients_; }
   PlatformReplicas& platform() { return platform_; }
   Observations& observations() { return observations_; }
 
@@ -86,7 +86,7 @@
   SimulatedNetwork network_;
   PlatformReplicas platform_;
   FabricModel fabric_;
-  SimulatedProcess callers_;
+  SimulatedProcess clients_;
   NullEventLog log_;
   ConfigurationViewPtr view_;
   std::vector<std::unique_ptr<SimulatedProcess>> processes_;
--- a/src/sim/in_process_fleet.cc
+++ b/src/sim/in_process_fleet.cc
@@ -66,14 +66,14 @@
   void sendPeerMessage(Endpoint peer, const PeerMessage& message) override {
     const std::size_t bytes =
         fleet_.network_.sendPeerMessage(process_, settings_.peer_address, peer, message);
-    counters_.largest_message = std::max<std::uint64_t>(counters_.largest_message, bytes);
+    counters_.max_message_bytes = std::max<std::uint64_t>(counters_.max_message_bytes, bytes);
   }
 
   void readPlatformConfiguration() override {
     process_.runAfter(kPlatformDelay, [this] {
       if (fleet_.platformReachable(settings_.zone)) {
         node_->onPlatformConfiguration(fleet_.platformTextFor(settings_.zone));
-        noteVersion();
+        recordVersion();
       }
     });
   }
@@ -100,10 +100,10 @@
 
   void onPeerMessage(Endpoint from, const PeerMessage& message) {
     node_->onPeerMessage(from, message);
-    noteVersion();
+    recordVersion();
   }
 
-  void noteVersion() { fleet_.noteVersion(index_, node_->configuration().version()); }
+  void recordVersion() { fleet_.recordVersion(index_, node_->configuration().version()); }
 
   InProcessFleet& fleet_;
   const std::size_t index_;
@@ -271,7 +271,7 @@
   });
 }
 
-bool InProcessFleet::allBelieve(std::size_t index, MemberState state) const {
+bool InProcessFleet::allReportState(std::size_t index, MemberState state) const {
   const std::string name = nodeName(index);
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     const Node* node = nodes_[other]->node();
@@ -286,7 +286,7 @@
   return true;
 }
 
-bool InProcessFleet::allKnowDraining(const Backend& backend) const {
+bool InProcessFleet::allExclude(const Backend& backend) const {
   return std::all_of(nodes_.begin(), nodes_.end(), [&backend](const auto& node) {
     return node->node() == nullptr || !node->node()->loads().mayPlace(backend);
   });
@@ -317,7 +317,7 @@
   return report;
 }
 
-void InProcessFleet::noteVersion(std::size_t index, ConfigVersion version) {
+void InProcessFleet::recordVersion(std::size_t index, ConfigVersion version) {
   reverts_ += version < versions_[index] ? 1 : 0;
   versions_[index] = version;
 }
--- a/src/sim/in_process_fleet.h
+++ b/src/sim/in_process_fleet.h
@@ -23,7 +23,7 @@
 
 /** What one hollow node sent, all lives together. */
 struct InProcessNodeCounters {
-  std::uint64_t largest_message = 0;
+  std::uint64_t max_message_bytes = 0;
 };
 
 /**
@@ -85,9 +85,9 @@
   bool allHaveVersion(ConfigVersion version) const;
 
   /** @return true if all running nodes believe that of the other node. */
-  bool allBelieve(std::size_t index, MemberState state) const;
+  bool allReportState(std::size_t index, MemberState state) const;
   /** @return true if no running node places on the back end any more. */
-  bool allKnowDraining(const Backend& backend) const;
+  bool allExclude(const Backend& backend) const;
   /** @return times that a node's version in force went down within one life. */
   std::uint64_t configurationReverts() const { return reverts_; }
 
@@ -97,7 +97,7 @@
   bool platformReachable(const std::string& zone) const;
   const std::string& platformTextFor(const std::string& zone) const;
   BackendReport reportOf(const Backend& backend, const TimeSource& time_source) const;
-  void noteVersion(std::size_t index, ConfigVersion version);
+  void recordVersion(std::size_t index, ConfigVersion version);
 
   const InProcessFleetSettings settings_;
   EventQueue queue_;
--- a/src/sim/observations.h
+++ b/src/sim/observations.h
@@ -49,10 +49,10 @@
   FlowId flow;
   ServiceId service;
   WorkKind kind = WorkKind::PreCheck;
-  std::uint32_t pieces_wanted = 0;
+  std::uint32_t expected_pieces = 0;
   std::uint32_t pieces = 0;
   std::uint32_t wrong_pieces = 0;
-  MonotonicTime began_at;
+  MonotonicTime started_at;
   MonotonicTime ended_at;
   /** Nothing where the call had not ended when the simulation did. */
   std::optional<CallResult> result;
@@ -116,7 +116,7 @@
   /** Times in which news could not spread: cuts, outages and stale replicas of the platform. */
   std::vector<Interval> isolation;
   /** Times in which a node was running, by name. */
-  std::multimap<std::string, Interval> node_lives;
+  std::multimap<std::string, Interval> node_uptimes;
   /** Times in which a node stood still. */
   std::multimap<std::string, Interval> node_pauses;
 };
--- a/src/sim/planned_work.cc
+++ b/src/sim/planned_maintenance.cc
@@ -1,30 +1,30 @@
-#include "sim/planned_work.h"
+#include "sim/planned_maintenance.h"
 
 namespace lugfork {
 
 namespace {
 
 /** Time for which a stopping balancer goes on relaying. */
-constexpr Duration kLeaveTime = seconds(2);
+constexpr Duration kLeaveDuration = seconds(2);
 constexpr Duration kEmptyCheckInterval = milliseconds(100);
 /** Time after a start in which a back end reports that it is not ready. */
-constexpr Duration kReadyTime = 2 * BackendModelSettings().clock_skew;
+constexpr Duration kReadinessDelay = 2 * BackendModelSettings().clock_skew;
 
 }  // namespace
 
-void PlannedWork::startDrain(SimulatedBackend& backend, bool told) {
+void PlannedMaintenance::startDrain(SimulatedBackend& backend, bool notify_backend) {
   const BackendId id = backend.declared().id;
-  ++drains_in_force_[id];
+  ++active_drains_[id];
   fleet_.observations().drains.emplace(id, Interval{fleet_.queue().now(), MonotonicTime::max()});
-  if (told) {
+  if (notify_backend) {
     backend.setDraining(true);
   }
   declareDraining(id, true);
 }
 
-void PlannedWork::endDrain(SimulatedBackend& backend) {
+void PlannedMaintenance::endDrain(SimulatedBackend& backend) {
   const BackendId id = backend.declared().id;
-  if (--drains_in_force_[id] > 0) {
+  if (--active_drains_[id] > 0) {
     return;
   }
   const auto [first, last] = fleet_.observations().drains.equal_range(id);
@@ -35,7 +35,7 @@
   declareDraining(id, false);
 }
 
-void PlannedWork::declareDraining(BackendId backend, bool draining) {
+void PlannedMaintenance::declareDraining(BackendId backend, bool draining) {
   fleet_.publish([&](Configuration& configuration) {
     for (Backend& declared : configuration.backends) {
       declared.draining = declared.id == backend ? draining : declared.draining;
@@ -43,17 +43,17 @@
   });
 }
 
-void PlannedWork::stopBalancer(SimulatedNode& balancer, Duration down_time,
-                               const std::function<void()>& done) {
+void PlannedMaintenance::stopBalancer(SimulatedNode& balancer, Duration down_time,
+                                      const std::function<void()>& done) {
   if (!balancer.process().isRunning() || balancer.process().isPaused()) {
     done();
     return;
   }
   const std::uint64_t generation = balancer.process().generation();
   const MonotonicTime now = fleet_.queue().now();
-  fleet_.observations().planned_stops.push_back({now, now + kLeaveTime});
+  fleet_.observations().planned_stops.push_back({now, now + kLeaveDuration});
   fleet_.beginLeaving(balancer);
-  fleet_.queue().scheduleAfter(kLeaveTime, [this, &balancer, generation, down_time, done] {
+  fleet_.queue().scheduleAfter(kLeaveDuration, [this, &balancer, generation, down_time, done] {
     if (balancer.process().generation() != generation) {
       done();
       return;
@@ -68,30 +68,30 @@
   });
 }
 
-void PlannedWork::stopBackend(SimulatedBackend& backend, Duration down_time,
-                              const std::function<void()>& done) {
+void PlannedMaintenance::stopBackend(SimulatedBackend& backend, Duration down_time,
+                                     const std::function<void()>& done) {
   const std::size_t stop = fleet_.observations().planned_stops.size();
   fleet_.observations().planned_stops.push_back({fleet_.queue().now(), MonotonicTime::max()});
   startDrain(backend, true);
   stopWhenEmpty(backend, backend.process().generation(), stop, down_time, done);
 }
 
-void PlannedWork::stopWhenEmpty(SimulatedBackend& backend, std::uint64_t generation,
-                                std::size_t stop, Duration down_time,
-                                const std::function<void()>& done) {
-  const bool same_life = backend.process().generation() == generation;
+void PlannedMaintenance::stopWhenEmpty(SimulatedBackend& backend, std::uint64_t generation,
+                                       std::size_t stop, Duration down_time,
+                                       const std::function<void()>& done) {
+  const bool same_incarnation = backend.process().generation() == generation;
   const bool empty = backend.model() != nullptr && backend.model()->openFlows() == 0;
   // The drain has to be known everywhere before an empty back end stays empty.
-  const MonotonicTime began_at = fleet_.observations().planned_stops[stop].from;
-  const bool known = fleet_.queue().now() - began_at >= 2 * kLeaveTime;
-  if (same_life && (!empty || !known)) {
+  const MonotonicTime started_at = fleet_.observations().planned_stops[stop].from;
+  const bool propagated = fleet_.queue().now() - started_at >= 2 * kLeaveDuration;
+  if (same_incarnation && (!empty || !propagated)) {
     fleet_.queue().scheduleAfter(kEmptyCheckInterval, [=, this, &backend] {
       stopWhenEmpty(backend, generation, stop, down_time, done);
     });
     return;
   }
   fleet_.observations().planned_stops[stop].until = fleet_.queue().now();
-  if (same_life) {
+  if (same_incarnation) {
     backend.kill();
   }
   fleet_.queue().scheduleAfter(down_time, [=, this, &backend] {
@@ -99,14 +99,14 @@
       backend.start(Duration::zero());
     }
     // Operators put a back end into service again once it reports that it is ready.
-    fleet_.queue().scheduleAfter(kReadyTime, [this, &backend, done] {
+    fleet_.queue().scheduleAfter(kReadinessDelay, [this, &backend, done] {
       endDrain(backend);
       done();
     });
   });
 }
 
-void PlannedWork::restartOneAfterTheOther(std::vector<std::string> names, Duration down_time) {
+void PlannedMaintenance::restartSequentially(std::vector<std::string> names, Duration down_time) {
   if (names.empty()) {
     return;
   }
@@ -114,7 +114,7 @@
   names.erase(names.begin());
   auto next = [this, names = std::move(names), down_time] {
     fleet_.queue().scheduleAfter(
-        kLeaveTime, [this, names, down_time] { restartOneAfterTheOther(names, down_time); });
+        kLeaveDuration, [this, names, down_time] { restartSequentially(names, down_time); });
   };
   if (SimulatedNode* balancer = fleet_.balancer(name)) {
     stopBalancer(*balancer, down_time, std::move(next));
@@ -123,7 +123,8 @@
   }
 }
 
-void PlannedWork::withdrawZone(const std::string& service_name, const std::string& zone_name) {
+void PlannedMaintenance::withdrawZone(const std::string& service_name,
+                                      const std::string& zone_name) {
   fleet_.publish([&](Configuration& configuration) {
     const ZoneId zone = fleet_.configuration().zoneNamed(zone_name)->id;
     for (Service& service : configuration.services) {
--- a/src/sim/planned_work.h
+++ b/src/sim/planned_maintenance.h
@@ -8,12 +8,12 @@
  * What operators do to a fleet on purpose: drains, planned stops and restarts one after the other.
  * Recorded for the checks, since planned work must not break a flow.
  */
-class PlannedWork {
+class PlannedMaintenance {
  public:
-  explicit PlannedWork(Fleet& fleet) : fleet_(fleet) {}
+  explicit PlannedMaintenance(Fleet& fleet) : fleet_(fleet) {}
 
   /** @param told the back end itself knows that it drains. */
-  void startDrain(SimulatedBackend& backend, bool told);
+  void startDrain(SimulatedBackend& backend, bool notify_backend);
   /** Ends one drain of a back end; others of it may still be in force. */
   void endDrain(SimulatedBackend& backend);
 
@@ -25,7 +25,7 @@
                    const std::function<void()>& done);
 
   /** Stops and starts balancers and back ends, each after the one before it is back. */
-  void restartOneAfterTheOther(std::vector<std::string> names, Duration down_time);
+  void restartSequentially(std::vector<std::string> names, Duration down_time);
 
   /** Takes a zone out of those that a service allows. */
   void withdrawZone(const std::string& service, const std::string& zone);
@@ -36,7 +36,7 @@
   void declareDraining(BackendId backend, bool draining);
 
   Fleet& fleet_;
-  std::map<BackendId, std::uint32_t> drains_in_force_;
+  std::map<BackendId, std::uint32_t> active_drains_;
 };
 
 }  // namespace lugfork
--- a/src/sim/platform_replicas.h
+++ b/src/sim/platform_replicas.h
@@ -30,7 +30,7 @@
 
   /** From now on the replica answers as of this moment. */
   void freeze(std::size_t replica) { replicas_[replica]->frozen_since = queue_.now(); }
-  void thaw(std::size_t replica) { replicas_[replica]->frozen_since.reset(); }
+  void unfreeze(std::size_t replica) { replicas_[replica]->frozen_since.reset(); }
 
   /** Publishes a document with a higher version at one replica. */
   void publish(std::size_t replica, const std::string& document);
--- a/src/sim/promise_checker.cc
+++ b/src/sim/promise_checker.cc
@@ -43,7 +43,7 @@
     checkRuns();
     checkRefusals();
     checkVersions();
-    checkSpread();
+    checkPropagation();
     measureImbalance();
     return report_;
   }
@@ -52,11 +52,11 @@
   void checkCalls() {
     for (const CallRecord& call : observations_.calls) {
       for (const BreakObservation& broken : call.breaks) {
-        checkBreak(broken.key, call.began_at, broken.at);
+        checkBreak(broken.key, call.started_at, broken.at);
       }
       report_.broken_planned += call.result ? 0 : 1;
       report_.crossed_answers += call.wrong_pieces > 0 ? 1 : 0;
-      if (call.result == CallResult::Whole && call.pieces != call.pieces_wanted) {
+      if (call.result == CallResult::Whole && call.pieces != call.expected_pieces) {
         ++report_.crossed_answers;
       }
       if (call.result == CallResult::NotRun) {
@@ -67,19 +67,19 @@
     }
   }
 
-  void checkBreak(const FlowKey& key, MonotonicTime began_at, MonotonicTime broke_at) {
+  void checkBreak(const FlowKey& key, MonotonicTime started_at, MonotonicTime broken_at) {
     const auto [first, last] = backends_of_attempt_.equal_range(key);
-    const bool back_end_died = std::any_of(first, last, [&](const auto& entry) {
-      return anyOverlaps(observations_.unplanned_outages, entry.second, began_at, broke_at);
+    const bool backend_failed = std::any_of(first, last, [&](const auto& entry) {
+      return anyOverlaps(observations_.unplanned_outages, entry.second, started_at, broken_at);
     });
-    if (back_end_died) {
+    if (backend_failed) {
       ++report_.broken_unplanned;
       return;
     }
     ++report_.broken_planned;
     const auto& stops = observations_.planned_stops;
     const bool stop = std::any_of(stops.begin(), stops.end(), [&](const Interval& interval) {
-      return interval.overlaps(broke_at - limits_.stop_aftermath, broke_at);
+      return interval.overlaps(broken_at - limits_.stop_break_window, broken_at);
     });
     report_.cut_by_planned_stop += stop ? 1 : 0;
   }
@@ -88,8 +88,8 @@
     std::map<FlowId, std::uint64_t> unrepeatable_runs;
     for (const RunObservation& run : observations_.runs) {
       const auto call = calls_.find(run.key.flow);
-      const bool own_service = call != calls_.end() && call->second->service == run.service;
-      report_.misdelivered += own_service ? 0 : 1;
+      const bool expected_service = call != calls_.end() && call->second->service == run.service;
+      report_.misdelivered += expected_service ? 0 : 1;
       if (run.kind == WorkKind::Upload && ++unrepeatable_runs[run.key.flow] > 1) {
         ++report_.double_runs;
       }
@@ -102,8 +102,8 @@
     const auto [first, last] = observations_.drains.equal_range(run.backend);
     return std::any_of(first, last, [&](const auto& entry) {
       const Interval& drain = entry.second;
-      const MonotonicTime known_at = newsArrivesAt(drain.from);
-      return run.admitted_at > known_at + limits_.drain_grace && run.admitted_at <= drain.until;
+      const MonotonicTime announced_at = propagationStart(drain.from);
+      return run.admitted_at > announced_at + limits_.drain_grace && run.admitted_at <= drain.until;
     });
   }
 
@@ -111,74 +111,75 @@
     const auto& withdrawals = observations_.withdrawals;
     return std::any_of(withdrawals.begin(), withdrawals.end(), [&](const ZoneWithdrawal& entry) {
       return entry.service == run.service && entry.zone == run.zone &&
-             run.admitted_at > newsArrivesAt(entry.at) + limits_.config_spread;
+             run.admitted_at > propagationStart(entry.at) + limits_.max_propagation_delay;
     });
   }
 
   /** @return the time from which news of that moment could spread: after the isolation, if any. */
-  MonotonicTime newsArrivesAt(MonotonicTime at) const {
-    MonotonicTime arrival = at;
-    const MonotonicTime last_wanted = at + limits_.config_spread;
+  MonotonicTime propagationStart(MonotonicTime at) const {
+    MonotonicTime start = at;
+    const MonotonicTime propagation_deadline = at + limits_.max_propagation_delay;
     for (const Interval& interval : observations_.isolation) {
-      if (interval.overlaps(at, std::max(last_wanted, arrival + limits_.config_spread))) {
-        arrival = std::max(arrival, interval.until);
+      if (interval.overlaps(
+              at, std::max(propagation_deadline, start + limits_.max_propagation_delay))) {
+        start = std::max(start, interval.until);
       }
     }
-    return arrival;
+    return start;
   }
 
   void checkRefusals() {
     for (const RefusalObservation& refusal : observations_.refusals) {
       report_.false_not_run += attempts_run_.contains(refusal.key) ? 1 : 0;
-      const bool no_time = !refusal.has_replacement && refusal.retry_after_ms == 0;
-      report_.refused_without_retry_after += no_time ? 1 : 0;
+      const bool lacks_retry_after = !refusal.has_replacement && refusal.retry_after_ms == 0;
+      report_.refused_without_retry_after += lacks_retry_after ? 1 : 0;
     }
   }
 
   void checkVersions() {
-    std::map<std::string, std::uint64_t> highest;
+    std::map<std::string, std::uint64_t> highest_versions;
     for (const VersionObservation& observation : observations_.versions) {
-      std::uint64_t& known = highest[observation.node];
-      report_.config_reverts += observation.version < known ? 1 : 0;
-      known = std::max(known, observation.version);
+      std::uint64_t& highest_version = highest_versions[observation.node];
+      report_.config_reverts += observation.version < highest_version ? 1 : 0;
+      highest_version = std::max(highest_version, observation.version);
     }
   }
 
-  void checkSpread() {
+  void checkPropagation() {
     for (const PublicationObservation& publication : observations_.publications) {
-      for (const auto& [node, life] : observations_.node_lives) {
-        checkSpreadTo(publication, node, life);
+      for (const auto& [node, uptime] : observations_.node_uptimes) {
+        checkPropagationTo(publication, node, uptime);
       }
     }
   }
 
-  void checkSpreadTo(const PublicationObservation& publication, const std::string& node,
-                     const Interval& life) {
-    const MonotonicTime known_by = inForceAt(node, publication.version, life);
-    MonotonicTime since = newsArrivesAt(std::max(publication.at, life.from));
+  void checkPropagationTo(const PublicationObservation& publication, const std::string& node,
+                          const Interval& uptime) {
+    const MonotonicTime in_force_at = inForceAt(node, publication.version, uptime);
+    MonotonicTime since = propagationStart(std::max(publication.at, uptime.from));
     const auto [first, last] = observations_.node_pauses.equal_range(node);
     for (auto entry = first; entry != last; ++entry) {
-      if (entry->second.overlaps(publication.at, since + limits_.config_spread)) {
+      if (entry->second.overlaps(publication.at, since + limits_.max_propagation_delay)) {
         since = std::max(since, entry->second.until);
       }
     }
-    const bool died_too_soon = life.until < since + limits_.config_spread;
-    if (publication.at > life.until || (died_too_soon && known_by == MonotonicTime::max())) {
+    const bool stopped_early = uptime.until < since + limits_.max_propagation_delay;
+    if (publication.at > uptime.until || (stopped_early && in_force_at == MonotonicTime::max())) {
       return;
     }
     const Duration limit = seconds(1000);
-    const Duration spread = known_by == MonotonicTime::max() ? limit : known_by - since;
-    const auto spread_ms = std::chrono::duration_cast<milliseconds>(spread).count();
+    const Duration delay = in_force_at == MonotonicTime::max() ? limit : in_force_at - since;
+    const auto delay_ms = std::chrono::duration_cast<milliseconds>(delay).count();
     report_.config_spread_ms_max =
         std::max<std::uint64_t>(report_.config_spread_ms_max,
-                                static_cast<std::uint64_t>(std::max<std::int64_t>(0, spread_ms)));
+                                static_cast<std::uint64_t>(std::max<std::int64_t>(0, delay_ms)));
   }
 
   MonotonicTime inForceAt(const std::string& node, std::uint64_t version,
-                          const Interval& life) const {
+                          const Interval& uptime) const {
     for (const VersionObservation& observation : observations_.versions) {
-      const bool this_life = observation.at >= life.from && observation.at <= life.until;
-      if (observation.node == node && this_life && observation.version >= version) {
+      const bool within_uptime = observation.at >= uptime.from && observation.at <= uptime.until;
+      if (observation.node == node && within_uptime && observation.version >= version) {
         return observation.at;
       }
     }
@@ -214,7 +215,7 @@
   return sorted[std::min(index, sorted.size() - 1)];
 }
 
-constexpr std::uint64_t kLongestSpreadMilliseconds = 5000;
+constexpr std::uint64_t kMaxPropagationDelayMilliseconds = 5000;
 
 }  // namespace
 
@@ -222,7 +223,7 @@
   const std::uint64_t broken = broken_planned + misdelivered + crossed_answers + double_runs +
                                false_not_run + late_work_on_draining + cut_by_planned_stop +
                                config_reverts + zone_violations + refused_without_retry_after;
-  return broken == 0 && config_spread_ms_max <= kLongestSpreadMilliseconds;
+  return broken == 0 && config_spread_ms_max <= kMaxPropagationDelayMilliseconds;
 }
 
 void PromiseReport::add(const PromiseReport& other) {
@@ -249,9 +250,9 @@
   std::vector<double> sorted = imbalance_samples;
   std::sort(sorted.begin(), sorted.end());
   constexpr double kMedian = 0.5;
-  constexpr double kNearWorst = 0.99;
+  constexpr double kP99 = 0.99;
   imbalance_p50 = percentile(sorted, kMedian);
-  imbalance_p99 = percentile(sorted, kNearWorst);
+  imbalance_p99 = percentile(sorted, kP99);
 }
 
 PromiseReport checkPromises(const Observations& observations, const PromiseLimits& limits) {
--- a/src/sim/promise_checker.h
+++ b/src/sim/promise_checker.h
@@ -57,9 +57,9 @@
   /** A leaving back end may still admit work for this long. */
   Duration drain_grace = seconds(5);
   /** Longest time for a configuration to be in force everywhere. */
-  Duration config_spread = seconds(5);
+  Duration max_propagation_delay = seconds(5);
   /** Time after a planned stop in which a break counts against it. */
-  Duration stop_aftermath = seconds(5);
+  Duration stop_break_window = seconds(5);
 };
 
 /** Counts broken promises in what one simulation observed. */
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::uint32_t kLongestMilliseconds = 600000;
-constexpr std::uint32_t kMostPieces = 100000;
+constexpr std::uint32_t kMaxMilliseconds = 600000;
+constexpr std::uint32_t kMaxPieces = 100000;
 
 std::string readFile(const std::filesystem::path& path, const TomlReader& reader) {
   std::ifstream stream(path);
@@ -26,18 +26,18 @@
 
 Duration microseconds(TomlReader& reader, const char* key, Duration fallback) {
   const auto usual = static_cast<std::uint32_t>(fallback.count());
-  return Duration(reader.whole(key, 1, 1000000, usual));
+  return Duration(reader.integer(key, 1, 1000000, usual));
 }
 
 LinkSettings readLinks(TomlReader reader) {
   LinkSettings links;
   links.within_zone = microseconds(reader, "within_zone_us", links.within_zone);
   links.between_zones = microseconds(reader, "between_zones_us", links.between_zones);
-  links.to_callers = microseconds(reader, "to_callers_us", links.to_callers);
+  links.to_clients = microseconds(reader, "to_callers_us", links.to_clients);
   links.jitter = reader.number("jitter", 0, 100, links.jitter);
   links.loss = reader.number("loss", 0, 0.5, links.loss);
   links.duplication = reader.number("duplication", 0, 0.5, links.duplication);
-  reader.finish();
+  reader.rejectUnknownKeys();
   return links;
 }
 
@@ -52,15 +52,15 @@
     reader.fail("service", "is \"" + mix.service + "\", which the configuration does not declare");
   }
   mix.order.kind = static_cast<WorkKind>(reader.choice("kind", {"stream", "precheck", "upload"}));
-  mix.order.request_pieces = reader.whole("request_pieces", 0, kMostPieces, 0);
-  mix.order.answer_pieces = reader.whole("answer_pieces", 1, kMostPieces, 1);
-  mix.order.answer_interval_ms = reader.whole("answer_interval_ms", 0, 60000, 0);
-  mix.order.work_ms = reader.whole("work_ms", 0, 60000, 0);
+  mix.order.request_pieces = reader.integer("request_pieces", 0, kMaxPieces, 0);
+  mix.order.answer_pieces = reader.integer("answer_pieces", 1, kMaxPieces, 1);
+  mix.order.answer_interval_ms = reader.integer("answer_interval_ms", 0, 60000, 0);
+  mix.order.work_ms = reader.integer("work_ms", 0, 60000, 0);
   mix.rate_per_second = reader.number("rate_per_second", 0, 10000, 0);
-  mix.burst_interval = reader.milliseconds("burst_interval_ms", kLongestMilliseconds, {});
-  mix.burst_size = reader.whole("burst_size", 0, 10000, 0);
-  mix.deadline = reader.milliseconds("deadline_ms", kLongestMilliseconds, {});
-  reader.finish();
+  mix.burst_interval = reader.milliseconds("burst_interval_ms", kMaxMilliseconds, {});
+  mix.burst_size = reader.integer("burst_size", 0, 10000, 0);
+  mix.deadline = reader.milliseconds("deadline_ms", kMaxMilliseconds, {});
+  reader.rejectUnknownKeys();
   return mix;
 }
 
@@ -76,10 +76,10 @@
     reader.fail("configuration", "is not valid: " + describeProblems(parsed.error()));
   }
   const ConfigurationView view(std::move(parsed.value()));
-  scenario.balancers_per_zone = reader.whole("balancers_per_zone", 1, 100, 2);
-  scenario.platform_replicas = reader.whole("platform_replicas", 1, 10, 2);
-  scenario.duration = reader.milliseconds("duration_ms", kLongestMilliseconds, scenario.duration);
-  scenario.settle = reader.milliseconds("settle_ms", kLongestMilliseconds, scenario.settle);
+  scenario.balancers_per_zone = reader.integer("balancers_per_zone", 1, 100, 2);
+  scenario.platform_replicas = reader.integer("platform_replicas", 1, 10, 2);
+  scenario.duration = reader.milliseconds("duration_ms", kMaxMilliseconds, scenario.duration);
+  scenario.settle = reader.milliseconds("settle_ms", kMaxMilliseconds, scenario.settle);
   scenario.health_lag = reader.milliseconds("health_lag_ms", 10000, scenario.health_lag);
   scenario.machine_list_lag =
       reader.milliseconds("machine_list_lag_ms", 60000, scenario.machine_list_lag);
@@ -88,7 +88,7 @@
   for (TomlReader& calls : reader.tables("calls")) {
     scenario.calls.push_back(readCallMix(calls, view));
   }
-  reader.finish();
+  reader.rejectUnknownKeys();
   return scenario;
 }
 
--- a/src/sim/simulated_network.cc
+++ b/src/sim/simulated_network.cc
@@ -69,9 +69,9 @@
 }
 
 Duration SimulatedNetwork::delay(const SimulatedProcess& from, const SimulatedProcess& to) {
-  const bool caller = from.zone() == kCallerZone || to.zone() == kCallerZone;
+  const bool with_client = from.zone() == kClientZone || to.zone() == kClientZone;
   Duration base = from.zone() == to.zone() ? settings_.within_zone : settings_.between_zones;
-  base = caller ? settings_.to_callers : base;
+  base = with_client ? settings_.to_clients : base;
   const double factor = 1 + settings_.jitter * random_.unit();
   return Duration(static_cast<std::int64_t>(static_cast<double>(base.count()) * factor));
 }
--- a/src/sim/simulated_network.h
+++ b/src/sim/simulated_network.h
@@ -19,7 +19,7 @@
   Duration within_zone = Duration(100);
   Duration between_zones = Duration(500);
   /** Between callers, which have no zone, and everything else. */
-  Duration to_callers = milliseconds(1);
+  Duration to_clients = milliseconds(1);
   /** Each delay is drawn from [delay, delay * (1 + jitter)]; large values reorder. */
   double jitter = 0.2;
   /** Probability that a datagram is lost. */
@@ -29,7 +29,7 @@
 };
 
 /** Zone name of callers. */
-inline constexpr const char* kCallerZone = "callers";
+inline constexpr const char* kClientZone = "callers";
 
 /** Counts of what the network carried. */
 struct NetworkCounters {
--- a/src/sim/simulated_node.cc
+++ b/src/sim/simulated_node.cc
@@ -12,13 +12,13 @@
 
 SimulatedNode::SimulatedNode(NodeSettings settings, Endpoint data_address,
                              SimulatedProcess& process, SimulatedNetwork& network,
-                             NodeSurroundings& surroundings, EventLog& log, std::uint64_t seed,
+                             NodeEnvironment& environment, EventLog& log, std::uint64_t seed,
                              RouterKind router)
     : settings_(std::move(settings)),
       data_address_(data_address),
       process_(process),
       network_(network),
-      surroundings_(surroundings),
+      environment_(environment),
       log_(log),
       random_(makeSeededRandom(seed)),
       router_(router) {
@@ -85,19 +85,19 @@
 }
 
 void SimulatedNode::readPlatformConfiguration() {
-  surroundings_.readConfiguration(
+  environment_.readConfiguration(
       process_, [this](const std::string& text) { node_->onPlatformConfiguration(text); });
 }
 
 void SimulatedNode::readPlatformMachines() {
-  surroundings_.readMachines(process_, [this](const std::vector<Machine>& machines) {
+  environment_.readMachines(process_, [this](const std::vector<Machine>& machines) {
     node_->onPlatformMachines(machines);
   });
 }
 
 void SimulatedNode::probeBackend(const Backend& backend) {
-  surroundings_.probe(process_, backend,
-                      [this](const BackendReport& report) { node_->onBackendReport(report); });
+  environment_.probe(process_, backend,
+                     [this](const BackendReport& report) { node_->onBackendReport(report); });
 }
 
 void SimulatedNode::scheduleTick() {
--- a/src/sim/simulated_node.h
+++ b/src/sim/simulated_node.h
@@ -10,9 +10,9 @@
 namespace lugfork {
 
 /** What surrounds the simulated nodes: the platform and the back ends' load endpoints. */
-class NodeSurroundings {
+class NodeEnvironment {
  public:
-  virtual ~NodeSurroundings() = default;
+  virtual ~NodeEnvironment() = default;
 
   /** Reads the platform's configuration for a node; calls back in the node's process. */
   virtual void readConfiguration(SimulatedProcess& reader,
@@ -27,7 +27,7 @@
 class SimulatedNode : private NodeOutputs {
  public:
   SimulatedNode(NodeSettings settings, Endpoint data_address, SimulatedProcess& process,
-                SimulatedNetwork& network, NodeSurroundings& surroundings, EventLog& log,
+                SimulatedNetwork& network, NodeEnvironment& environment, EventLog& log,
                 std::uint64_t seed, RouterKind router = RouterKind::Token);
 
   /** Starts the process with a fresh Node; nothing of an earlier life remains. */
@@ -65,7 +65,7 @@
   const Endpoint data_address_;
   SimulatedProcess& process_;
   SimulatedNetwork& network_;
-  NodeSurroundings& surroundings_;
+  NodeEnvironment& environment_;
   EventLog& log_;
   std::unique_ptr<RandomGenerator> random_;
   const RouterKind router_;
--- a/src/sim/simulated_process.cc
+++ b/src/sim/simulated_process.cc
@@ -12,13 +12,13 @@
   running_ = false;
   paused_ = false;
   ++generation_;
-  waiting_.clear();
+  queued_events_.clear();
 }
 
 void SimulatedProcess::resume() {
   paused_ = false;
   std::vector<EventQueue::Event> waiting;
-  waiting.swap(waiting_);
+  waiting.swap(queued_events_);
   for (EventQueue::Event& event : waiting) {
     run(std::move(event));
   }
@@ -30,8 +30,8 @@
   }
   if (!paused_) {
     event();
-  } else if (waiting_.size() < kMaxWaitingEvents) {
-    waiting_.push_back(std::move(event));
+  } else if (queued_events_.size() < kMaxQueuedEvents) {
+    queued_events_.push_back(std::move(event));
   }
 }
 
--- a/src/sim/simulated_process.h
+++ b/src/sim/simulated_process.h
@@ -58,7 +58,7 @@
 
  private:
   /** Events that a paused process keeps, as a socket's buffer would. */
-  static constexpr std::size_t kMaxWaitingEvents = 10000;
+  static constexpr std::size_t kMaxQueuedEvents = 10000;
 
   EventQueue& queue_;
   const std::string name_;
@@ -67,7 +67,7 @@
   bool running_ = false;
   bool paused_ = false;
   std::uint64_t generation_ = 0;
-  std::vector<EventQueue::Event> waiting_;
+  std::vector<EventQueue::Event> queued_events_;
 };
 
 }  // namespace lugfork
--- a/src/sim/simulation.cc
+++ b/src/sim/simulation.cc
@@ -21,8 +21,8 @@
   while (fleet.queue().now() < ends_at && !calls.isDone()) {
     fleet.queue().runFor(kStep);
   }
-  calls.recordUnended();
-  for (auto& [name, life] : result.observations.node_lives) {
+  calls.recordUnfinished();
+  for (auto& [name, life] : result.observations.node_uptimes) {
     life.until = std::min(life.until, fleet.queue().now());
   }
   result.report = checkPromises(result.observations);
--- a/src/sim/toml_reader.cc
+++ b/src/sim/toml_reader.cc
@@ -17,9 +17,9 @@
   return text;
 }
 
-std::string rangeText(double lowest, double highest) {
+std::string rangeText(double min, double max) {
   std::ostringstream text;
-  text << "must be a number from " << lowest << " to " << highest;
+  text << "must be a number from " << min << " to " << max;
   return text.str();
 }
 
@@ -47,39 +47,38 @@
   return table_.contains(key) ? text(key) : (find(key), fallback);
 }
 
-double TomlReader::number(const char* key, double lowest, double highest, double fallback) {
+double TomlReader::number(const char* key, double min, double max, double fallback) {
   const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value<double>();
-  if (!value || !node->is_number() || *value < lowest || *value > highest) {
-    fail(key, rangeText(lowest, highest));
+  if (!value || !node->is_number() || *value < min || *value > max) {
+    fail(key, rangeText(min, max));
   }
   return *value;
 }
 
-std::uint32_t TomlReader::whole(const char* key, std::uint32_t lowest, std::uint32_t highest,
-                                std::uint32_t fallback) {
+std::uint32_t TomlReader::integer(const char* key, std::uint32_t min, std::uint32_t max,
+                                  std::uint32_t fallback) {
   const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value<std::int64_t>();
-  if (!node->is_integer() || *value < lowest || *value > highest) {
-    fail(key, "must be a whole number from " + std::to_string(lowest) + " to " +
-                  std::to_string(highest));
+  if (!node->is_integer() || *value < min || *value > max) {
+    fail(key, "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
   }
   return static_cast<std::uint32_t>(*value);
 }
 
-Duration TomlReader::milliseconds(const char* key, std::uint32_t highest, Duration fallback) {
+Duration TomlReader::milliseconds(const char* key, std::uint32_t max, Duration fallback) {
   constexpr std::uint32_t kMissing = ~0U;
-  const std::uint32_t value = whole(key, 0, highest, kMissing);
+  const std::uint32_t value = integer(key, 0, max, kMissing);
   return value == kMissing ? fallback : std::chrono::milliseconds(value);
 }
 
-bool TomlReader::flag(const char* key, bool fallback) {
+bool TomlReader::boolean(const char* key, bool fallback) {
   const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
@@ -109,8 +108,8 @@
     fail(key, "must be an array of tables");
   }
   for (const toml::node& entry : *node->as_array()) {
-    const std::string place = place_ + key + "[" + std::to_string(readers.size()) + "].";
-    readers.emplace_back(*entry.as_table(), file_, place);
+    const std::string table_path = table_path_ + key + "[" + std::to_string(readers.size()) + "].";
+    readers.emplace_back(*entry.as_table(), file_, table_path);
   }
   return readers;
 }
@@ -120,25 +119,25 @@
   if (node != nullptr && !node->is_table()) {
     fail(key, "must be a table");
   }
-  return {node == nullptr ? kEmptyTable : *node->as_table(), file_, place_ + key + "."};
+  return {node == nullptr ? kEmptyTable : *node->as_table(), file_, table_path_ + key + "."};
 }
 
-void TomlReader::finish() const {
+void TomlReader::rejectUnknownKeys() const {
   for (const auto& [key, value] : table_) {
     const std::string name(key.str());
-    if (!known_.contains(name)) {
+    if (!read_keys_.contains(name)) {
       fail(name, "is unknown; allowed are " +
-                     joined(std::vector<std::string>(known_.begin(), known_.end())));
+                     joined(std::vector<std::string>(read_keys_.begin(), read_keys_.end())));
     }
   }
 }
 
 void TomlReader::fail(const std::string& key, const std::string& problem) const {
-  throw TomlReadError(file_ + ": " + place_ + key + " " + problem);
+  throw TomlReadError(file_ + ": " + table_path_ + key + " " + problem);
 }
 
 const toml::node* TomlReader::find(const char* key) {
-  known_.insert(key);
+  read_keys_.insert(key);
   return table_.get(key);
 }
 
--- a/src/sim/toml_reader.h
+++ b/src/sim/toml_reader.h
@@ -24,16 +24,16 @@
 /** One table of a file; remembers which keys were read, so that unknown ones are refused. */
 class TomlReader {
  public:
-  TomlReader(const toml::table& table, std::string file, std::string place)
-      : table_(table), file_(std::move(file)), place_(std::move(place)) {}
+  TomlReader(const toml::table& table, std::string file, std::string table_path)
+      : table_(table), file_(std::move(file)), table_path_(std::move(table_path)) {}
 
   std::string text(const char* key);
   std::string text(const char* key, const std::string& fallback);
-  double number(const char* key, double lowest, double highest, double fallback);
-  std::uint32_t whole(const char* key, std::uint32_t lowest, std::uint32_t highest,
-                      std::uint32_t fallback);
-  Duration milliseconds(const char* key, std::uint32_t highest, Duration fallback);
-  bool flag(const char* key, bool fallback);
+  double number(const char* key, double min, double max, double fallback);
+  std::uint32_t integer(const char* key, std::uint32_t min, std::uint32_t max,
+                        std::uint32_t fallback);
+  Duration milliseconds(const char* key, std::uint32_t max, Duration fallback);
+  bool boolean(const char* key, bool fallback);
 
   /** @return the place of a name in a list of allowed names. */
   std::size_t choice(const char* key, const std::vector<std::string>& allowed);
@@ -45,7 +45,7 @@
   TomlReader table(const char* key);
 
   /** Refuses keys that were not read. */
-  void finish() const;
+  void rejectUnknownKeys() const;
 
   [[noreturn]] void fail(const std::string& key, const std::string& problem) const;
 
@@ -54,8 +54,8 @@
 
   const toml::table& table_;
   std::string file_;
-  std::string place_;
-  std::set<std::string> known_;
+  std::string table_path_;
+  std::set<std::string> read_keys_;
 };
 
 }  // namespace lugfork
--- a/tests/cluster/configuration_faults_test.cc
+++ b/tests/cluster/configuration_faults_test.cc
@@ -101,14 +101,14 @@
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(1)); };
   CHECK(fleet->runUntil(done, seconds(60)) < seconds(20));
   for (std::size_t index = 0; index < fleet->size(); ++index) {
-    CHECK(fleet->counters(index).largest_message < kMaxPeerMessageBytes);
+    CHECK(fleet->counters(index).max_message_bytes < kMaxPeerMessageBytes);
   }
   // One changed back end travels as a delta.
-  const std::uint64_t before = fleet->counters(1).largest_message;
+  const std::uint64_t before = fleet->counters(1).max_message_bytes;
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 7)));
   fleet->run(seconds(5));
   CHECK(fleet->allHaveVersion(ConfigVersion(2)));
-  CHECK(fleet->counters(1).largest_message == before);
+  CHECK(fleet->counters(1).max_message_bytes == before);
 }
 
 }  // namespace
--- a/tests/cluster/load_spread_test.cc
+++ b/tests/cluster/load_spread_test.cc
@@ -97,7 +97,7 @@
   auto fleet = settledFleet(settings);
   const Backend backend = InProcessFleet::makeConfiguration(settings).backends[4];
   fleet->setDraining(backend.id);
-  const auto known = [&] { return fleet->allKnowDraining(backend); };
+  const auto known = [&] { return fleet->allExclude(backend); };
   CHECK(fleet->runUntil(known, seconds(30)) < seconds(5));
 }
 
--- a/tests/cluster/membership_faults_test.cc
+++ b/tests/cluster/membership_faults_test.cc
@@ -34,7 +34,7 @@
   CHECK(fleet->node(0)->clusterStatus().live_members == 4);
   fleet->machineList().push_back(fleet->machineOf(4));
   fleet->kill(4);
-  const auto known_dead = [&] { return fleet->allBelieve(4, MemberState::Dead); };
+  const auto known_dead = [&] { return fleet->allReportState(4, MemberState::Dead); };
   CHECK(fleet->runUntil(known_dead, seconds(60)) < seconds(15));
   fleet->run(seconds(30));
   CHECK(known_dead());
@@ -45,9 +45,9 @@
   const std::uint64_t before = fleet->node(0)->membership().member("node-5")->incarnation;
   fleet->kill(4);
   fleet->run(seconds(20));
-  REQUIRE(fleet->allBelieve(4, MemberState::Dead));
+  REQUIRE(fleet->allReportState(4, MemberState::Dead));
   fleet->start(4);
-  const auto alive = [&] { return fleet->allBelieve(4, MemberState::Alive); };
+  const auto alive = [&] { return fleet->allReportState(4, MemberState::Alive); };
   CHECK(fleet->runUntil(alive, seconds(60)) < seconds(10));
   CHECK(fleet->node(0)->membership().member("node-5")->incarnation > before);
 }
@@ -60,7 +60,7 @@
   rumour.members.back().state = MemberState::Suspect;
   fleet->node(0)->onPeerMessage(fleet->machineOf(1).peer_address, GossipPush{rumour});
   REQUIRE(fleet->node(0)->membership().member("node-3")->state == MemberState::Suspect);
-  const auto alive = [&] { return fleet->allBelieve(2, MemberState::Alive); };
+  const auto alive = [&] { return fleet->allReportState(2, MemberState::Alive); };
   CHECK(fleet->runUntil(alive, seconds(30)) < seconds(8));
   fleet->run(seconds(20));
   CHECK(alive());
@@ -71,8 +71,8 @@
   fleet->network().cut("node-1", "node-2");
   fleet->network().cut("node-2", "node-1");
   fleet->run(seconds(60));
-  CHECK(fleet->allBelieve(0, MemberState::Alive));
-  CHECK(fleet->allBelieve(1, MemberState::Alive));
+  CHECK(fleet->allReportState(0, MemberState::Alive));
+  CHECK(fleet->allReportState(1, MemberState::Alive));
 }
 
 TEST_CASE("a zone that was believed dead is alive again after the cut") {
@@ -104,7 +104,7 @@
   auto fleet = settledFleet(fleetOf(30));
   fleet->node(7)->startLeaving();
   CHECK(fleet->node(7)->placementBlockedBy() != Reason::None);
-  const auto leaving = [&] { return fleet->allBelieve(7, MemberState::Leaving); };
+  const auto leaving = [&] { return fleet->allReportState(7, MemberState::Leaving); };
   CHECK(fleet->runUntil(leaving, seconds(30)) < seconds(4));
 }
 
--- a/tests/sim/backend_model_test.cc
+++ b/tests/sim/backend_model_test.cc
@@ -49,7 +49,7 @@
     forward(data, mode);
   }
 
-  void confirmAnswer() {
+  void acknowledgeAnswer() {
     forward(AnswerAck{Endpoint{1, 1}, key_, token_, 1}, ForwardMode::ContinueOnly);
   }
 
@@ -85,7 +85,7 @@
   BackendFixture fixture;
   fixture.sendUpload(ForwardMode::MayStart);
   fixture.runFor(seconds(1));
-  fixture.confirmAnswer();
+  fixture.acknowledgeAnswer();
   REQUIRE(fixture.model().runs().size() == 1);
   fixture.runFor(seconds(90));
   fixture.sendUpload(ForwardMode::ContinueOnly);
--- a/tests/sim/platform_item_source_test.cc
+++ b/tests/sim/platform_item_source_test.cc
@@ -17,7 +17,7 @@
 
   void onItems(const std::vector<ItemChange>& changes) override {
     for (const ItemChange& change : changes) {
-      known[change.item.key] = change.item.value;
+      items[change.item.key] = change.item.value;
     }
   }
   void onComplete(ViewOrigin) override {}
@@ -30,20 +30,20 @@
   PlatformModel platform{time, "document 1", "machines 1"};
   PlatformItemSource source{platform, scheduler, time};
   std::unique_ptr<RandomGenerator> random = makeSeededRandom(1);
-  std::map<std::string, std::string> known;
+  std::map<std::string, std::string> items;
   std::vector<SourceError> losses;
   ViewFollower follower{"", ViewFollowerSettings(), source, scheduler, time, *random, *this};
 };
 
-using Known = std::map<std::string, std::string>;
+using Items = std::map<std::string, std::string>;
 
 TEST_CASE("the product's own stand-in is followed as any platform", "[platform_item_source]") {
   StandinHarness harness;
   CHECK(harness.follower.isComplete());
-  CHECK(harness.known == Known{{"configuration", "document 1"}, {"machines", "machines 1"}});
+  CHECK(harness.items == Items{{"configuration", "document 1"}, {"machines", "machines 1"}});
   harness.platform.setMachines("machines 2");
   harness.scheduler.advance(milliseconds(100));
-  CHECK(harness.known["machines"] == "machines 2");
+  CHECK(harness.items["machines"] == "machines 2");
 }
 
 TEST_CASE("an outage of the stand-in changes nothing that is known", "[platform_item_source]") {
@@ -51,11 +51,11 @@
   harness.platform.setOutage(true);
   harness.scheduler.advance(seconds(5));
   CHECK(harness.losses == std::vector<SourceError>{SourceError::Unavailable});
-  CHECK(harness.known.size() == 2);
+  CHECK(harness.items.size() == 2);
   harness.platform.setMachines("machines 3");
   harness.platform.setOutage(false);
   harness.scheduler.advance(seconds(5));
-  CHECK(harness.known["machines"] == "machines 3");
+  CHECK(harness.items["machines"] == "machines 3");
 }
 
 }  // namespace
--- a/tests/sim/promise_checker_test.cc
+++ b/tests/sim/promise_checker_test.cc
@@ -23,15 +23,15 @@
   call.flow = kFlow;
   call.service = kService;
   call.kind = WorkKind::Upload;
-  call.pieces_wanted = 1;
+  call.expected_pieces = 1;
   call.pieces = 1;
-  call.began_at = at(1);
+  call.started_at = at(1);
   call.ended_at = at(2);
   call.result = CallResult::Whole;
   trace.calls.push_back(call);
   trace.placements.push_back({kKey, kBackend, at(1)});
   trace.runs.push_back({kKey, WorkKind::Upload, kBackend, kService, kZone, at(1), at(1)});
-  trace.node_lives.emplace("node", Interval{at(0), at(100)});
+  trace.node_uptimes.emplace("node", Interval{at(0), at(100)});
   trace.versions.push_back({"node", 1, at(0)});
   return trace;
 }
--- a/tests/sim/promise_tables_test.cc
+++ b/tests/sim/promise_tables_test.cc
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t kSeeds = 2;
 /** A second run of an upload is rare even without the rules for tokens. */
-constexpr std::uint64_t kSeedsOfBaselineDoubleRun = 12;
+constexpr std::uint64_t kBaselineDoubleRunSeeds = 12;
 
 /** A fault table under the token router and under one that lacks the mechanism. */
 struct PromiseTable {
@@ -64,8 +64,7 @@
 TEST_CASE("what may not be repeated runs at most once, and not run is true") {
   const Scenario scenario = withSinglePieceUploads(test::loadScenario("radio"));
   const auto without = test::withRouter(RouterKind::Rendezvous);
-  CHECK(test::runTable(scenario, "at_most_once", without, kSeedsOfBaselineDoubleRun).double_runs >
-        0);
+  CHECK(test::runTable(scenario, "at_most_once", without, kBaselineDoubleRunSeeds).double_runs > 0);
   const PromiseReport report = test::runTable(scenario, "at_most_once", {}, 2 * kSeeds);
   CHECK(report.double_runs == 0);
   CHECK(report.false_not_run == 0);
