--- a/bench/control_work_bench.cc
+++ b/bench/control_work_bench.cc
@@ -7,7 +7,7 @@
 #include "wire/record_codec.h"
 #include "wire/view_transfer_codec.h"
 
-/** Cost of control work: views, changes, configurations, and what is known of other balancers. */
+/** Cost of the control plane: views, changes, configurations, and the directory of peers. */
 namespace lugfork {
 namespace {
 
@@ -24,7 +24,7 @@
   Duration elapsed = seconds(1000);
 };
 
-/** Keeps calls until they are run; drops those of timers that run by themselves. */
+/** Queues calls until runAll(); ignores periodic timers, which have longer delays. */
 class QueueScheduler : public Scheduler {
  public:
   void callAfter(Duration delay, std::function<void()> function) override {
@@ -178,7 +178,7 @@
 }
 BENCHMARK(measureRoutesChange)->Arg(50)->Arg(kRoutes)->Unit(benchmark::kMicrosecond);
 
-/** @param time_step time between openings, which makes candidate lists grow old. */
+/** @param time_step time between openings; a long one makes candidate lists expire. */
 void openFlows(benchmark::State& state, Duration time_step) {
   SettableTime time;
   NodeHarness harness(time);
@@ -192,7 +192,7 @@
     packet.service = kRouteAddress;
     packet.opens = true;
     harness.node.onPacket(packet);
-    // The flow is answered and ends, so that its back end counts as alive and idle.
+    // The flow is answered and closed, so that its backend counts as alive and idle.
     state.PauseTiming();
     packet.opens = false;
     packet.token = harness.sender.token;
--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -6,7 +6,7 @@
 #include "flow/packet_router.h"
 #include "wire/datagram_codec.h"
 
-/** Cost of the data path: one forwarding decision, one placement, memory for each open flow. */
+/** Cost of the data path: one forwarding decision, one placement, memory per open flow. */
 namespace lugfork {
 namespace {
 
@@ -56,7 +56,7 @@
     router.setConfiguration(view);
   }
 
-  /** @return encoded Data datagrams of that many flows, each with its own token. */
+  /** @return encoded Data datagrams of the given number of flows, each with its own token. */
   std::vector<Bytes> openFlows(std::int64_t flows) {
     std::vector<Bytes> datagrams;
     datagrams.reserve(static_cast<std::size_t>(flows));
@@ -80,7 +80,7 @@
   FlowRouter router{FlowRouterSettings(), time, sender, placement, loads, host};
 };
 
-/** Decode, token check, forward, for a 200-byte payload; flows are visited in random order. */
+/** Decoding, token check and forwarding of a 200-byte payload; flows in random order. */
 void forwardDatagram(benchmark::State& state) {
   BenchRouter bench(static_cast<std::uint32_t>(state.range(1)));
   const std::vector<Bytes> datagrams = bench.openFlows(state.range(0));
@@ -93,7 +93,7 @@
     ->ArgNames({"flows", "backends"})
     ->ArgsProduct({{1000, 100000, 1000000}, {15, 1000, 14000}});
 
-/** Open to Placed, with that many flows placed before. */
+/** From Open to Placed, after the given number of flows was placed. */
 void placeFlow(benchmark::State& state) {
   BenchRouter bench(static_cast<std::uint32_t>(state.range(1)));
   for (std::int64_t flow = 0; flow < state.range(0); ++flow) {
@@ -115,7 +115,7 @@
     ->ArgNames({"flows", "backends"})
     ->ArgsProduct({{1000, 100000, 1000000}, {15, 1000, 14000}});
 
-/** A router of packets with compact tokens, whose log drops all but 100 lines a second. */
+/** Packet router with compact tokens, and a log that drops all but 100 lines per second. */
 struct PacketBench : PacketSender, PacketRouterHost {
   explicit PacketBench(std::uint32_t backends) : services(backends) {
     decider.setConfiguration(services.view);
@@ -146,7 +146,7 @@
     return packet;
   }
 
-  /** Opens a flow and ends its handshake, so that it does not count as in flight. */
+  /** Opens a flow and completes its handshake, so that it doesn't count as in flight. */
   FlowPacket openFlow() {
     FlowPacket packet = opening();
     router.onPacket(packet);
@@ -175,7 +175,7 @@
   std::uint32_t next = 0;
 };
 
-/** An opening and the end of its handshake, beyond the rate of the log. */
+/** An opening and the end of its handshake, above the rate limit of the log. */
 void packetOpening(benchmark::State& state) {
   PacketBench bench(150);
   for (auto _ : state) {
@@ -184,7 +184,7 @@
 }
 BENCHMARK(packetOpening);
 
-/** A packet without payload of an open flow. */
+/** A packet of an open flow, without payload. */
 void packetForward(benchmark::State& state) {
   PacketBench bench(150);
   FlowPacket packet = bench.openFlow();
@@ -194,7 +194,7 @@
 }
 BENCHMARK(packetForward);
 
-/** An opening to a service that nobody has, beyond the rate of the log. */
+/** An opening to an unknown service, above the rate limit of the log. */
 void packetReset(benchmark::State& state) {
   PacketBench bench(150);
   for (auto _ : state) {
@@ -203,7 +203,7 @@
 }
 BENCHMARK(packetReset);
 
-/** Bytes of the heap in use for each of a million flows that were placed and forwarded once. */
+/** Heap bytes in use per flow, for a million flows that were placed and forwarded once. */
 void memoryOfOpenFlows(benchmark::State& state) {
   constexpr std::int64_t kFlows = 1000000;
   for (auto _ : state) {
--- a/bench/placement_comparison.cc
+++ b/bench/placement_comparison.cc
@@ -1,7 +1,7 @@
 /**
  * Compares placement policies on a virtual clock: several balancers place requests on queueing
- * back ends with lagging and lying reports, bunched arrivals and one cold start. The same seeds
- * give the same figures.
+ * backends, with stale and wrong load reports, bursts of arrivals and one cold start. The same
+ * seeds give the same figures.
  */
 #include <algorithm>
 #include <cmath>
@@ -61,7 +61,7 @@
   std::uint64_t overflows = 0;
 };
 
-/** Back end with slots and a bounded queue. */
+/** Backend with slots and a bounded queue. */
 struct QueueingBackend {
   std::vector<MonotonicTime> busy_until;
   std::deque<MonotonicTime> arrivals;
@@ -70,7 +70,7 @@
   std::size_t occupancy() const { return busy_until.size() + arrivals.size(); }
 };
 
-/** Report on its way from a back end to one balancer. */
+/** Report in transit from a backend to one balancer. */
 struct PendingReport {
   MonotonicTime arrives_at;
   std::size_t balancer;
@@ -217,7 +217,7 @@
     }
   }
 
-  /** One request: placed, and placed once more where the back end's queue is full. */
+  /** Places one request, and places it once more if the queue of the backend is full. */
   void request() {
     Balancer& balancer = *balancers_[random_->below(balancers_.size())];
     const FlowKey key{{random_->next(), random_->next()}, 0};
--- a/src/sim/backend_model.cc
+++ b/src/sim/backend_model.cc
@@ -238,12 +238,12 @@
 void BackendModel::advance(const FlowKey& key, Flow& flow, MonotonicTime now) {
   const bool deadline_passed = flow.has_deadline && now >= flow.deadline;
   const bool not_started = flow.state == FlowState::Receiving || flow.state == FlowState::Queued;
-  const bool abandoned = now - flow.last_received_at >= settings_.idle_timeout;
-  if (not_started && (deadline_passed || abandoned)) {
+  const bool idle = now - flow.last_received_at >= settings_.idle_timeout;
+  if (not_started && (deadline_passed || idle)) {
     refuseAdmitted(key, flow, Reason::DeadlineExceeded);
     return;
   }
-  if (deadline_passed || abandoned) {
+  if (deadline_passed || idle) {
     endFlow(flow);
     return;
   }
@@ -339,22 +339,22 @@
 
 BackendReport BackendModel::report() const {
   const BackendReport now = currentReport();
-  const std::uint64_t wanted_at = now.measured_at_ms - toWireMilliseconds(distortion_.lag);
-  BackendReport shown = now;
+  const std::uint64_t state_at = now.measured_at_ms - toWireMilliseconds(distortion_.lag);
+  BackendReport reported = now;
   if (distortion_.lag > Duration::zero() && !past_reports_.empty()) {
     const auto past = std::find_if(
         past_reports_.begin(), past_reports_.end(),
-        [&](const BackendReport& candidate) { return candidate.measured_at_ms >= wanted_at; });
-    shown = past == past_reports_.end() ? past_reports_.back() : *past;
-    shown.measured_at_ms = now.measured_at_ms;
+        [&](const BackendReport& candidate) { return candidate.measured_at_ms >= state_at; });
+    reported = past == past_reports_.end() ? past_reports_.back() : *past;
+    reported.measured_at_ms = now.measured_at_ms;
   }
   const auto distort = [&](std::uint32_t value) {
     return static_cast<std::uint32_t>(value * distortion_.factor);
   };
-  shown.open_connections = distort(shown.open_connections);
-  shown.busy_slots = distort(shown.busy_slots);
-  shown.queued_requests = distort(shown.queued_requests);
-  return shown;
+  reported.open_connections = distort(reported.open_connections);
+  reported.busy_slots = distort(reported.busy_slots);
+  reported.queued_requests = distort(reported.queued_requests);
+  return reported;
 }
 
 BackendReport BackendModel::currentReport() const {
--- a/src/sim/backend_model.h
+++ b/src/sim/backend_model.h
@@ -12,52 +12,53 @@
 #include "sim/work_order.h"
 
 /**
- * Stand-in back end: slots, connections, drain, cold start, shedding, cancellation, deadlines, and
- * a load report that may lag or lie. The same model runs in lugfork-standin and in the simulator.
+ * Model of a backend: slots, connections, draining, cold start, load shedding, cancellation,
+ * deadlines, and load reports that may be stale or wrong. Used by lugfork-standin and the
+ * simulator.
  */
 namespace lugfork {
 
-/** Behaviour of one back end. */
+/** Settings of BackendModel. */
 struct BackendModelSettings {
   BackendId id;
   ServiceId service;
   std::uint32_t slots = 2;
   std::uint32_t connections = 2000;
-  /** Requests that may wait for a slot before it sheds load. */
+  /** Requests that may wait for a slot; further ones are refused as overloaded. */
   std::uint32_t queue_limit = 16;
-  /** Work takes cold_start_factor times as long for this time after the start. */
+  /** Work takes cold_start_factor times as long during this time after the start. */
   Duration cold_start{};
   double cold_start_factor = 4;
-  /** Time after a placement in which its token may start work. */
+  /** Time after a placement during which its token may start work. */
   Duration placement_lifetime = seconds(3);
   /** Largest difference between two machines' wall clocks. */
   Duration clock_skew = milliseconds(500);
-  /** Ended and refused attempts are remembered this long, so that late copies do nothing. */
+  /** Ended and refused attempts are kept this long, so that late duplicates have no effect. */
   Duration ended_flow_ttl = seconds(60);
-  /** A flow that the caller has not confirmed for this long is dropped. */
+  /** A flow without data or acknowledgements from its client for this long ends. */
   Duration idle_timeout = seconds(30);
   Duration resend_interval = milliseconds(200);
   std::uint32_t answer_window = 16;
-  /** Time that callers are told to wait after a refusal. */
+  /** Retry-after time sent to clients with a refusal. */
   Duration retry_after = milliseconds(500);
 };
 
-/** One start of work, as the back end recorded it. */
+/** One start of work, as recorded by the backend. */
 struct RunRecord {
   FlowKey key;
   WorkKind kind = WorkKind::PreCheck;
   SystemTime placed_at;
   SystemTime admitted_at;
   SystemTime started_at;
-  /** The back end had been told to drain before the flow was admitted. */
+  /** The backend was draining when the flow was admitted. */
   bool admitted_while_draining = false;
 };
 
-/** How a back end misreports its load. */
+/** Errors added to the load reports of a backend. */
 struct ReportDistortion {
-  /** Factor on every number of the report. */
+  /** Factor applied to the load figures of the report. */
   double factor = 1;
-  /** Age of the state that the report shows. */
+  /** Age of the reported state. */
   Duration lag{};
 };
 
@@ -69,20 +70,20 @@
   /** Handles a datagram from a balancer. */
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from);
 
-  /** Does what is due; to be called every 10 ms or so. */
+  /** Runs due timers, queued work and answers; call it about every 10 ms. */
   void onTick();
 
-  /** Takes nothing new from now on; what is established goes on. */
+  /** Refuses new flows while draining; established flows continue. */
   void setDraining(bool draining) { draining_ = draining; }
 
-  /** Refuses everything new as overloaded. */
+  /** Refuses all new flows as overloaded. */
   void setShedding(bool shedding) { shedding_ = shedding; }
   void setDistortion(ReportDistortion distortion) { distortion_ = distortion; }
 
-  /** @return health and load as the back end reports them, distortion included. */
+  /** @return health and load as reported, including the distortion. */
   BackendReport report() const;
 
-  /** @return flows that are not ended yet. */
+  /** @return the number of flows that have not ended. */
   std::size_t openFlows() const { return open_flows_; }
   const std::vector<RunRecord>& runs() const { return runs_; }
 
@@ -115,16 +116,16 @@
   void onAnswerAck(const AnswerAck& ack, const Forward& forward, Endpoint balancer);
   void onCancel(const Cancel& cancel, const Forward& forward, Endpoint balancer);
 
-  /** @return Reason::None where a new attempt may be admitted. */
+  /** @return the reason to refuse a new attempt; Reason::None if it may be admitted. */
   Reason admissionBlockedBy(const Data& data, const Forward& forward) const;
   bool mayHaveRunBeforeRestart(const Data& data) const;
 
-  /** An attempt placed so long ago may have run, ended and been forgotten since. */
+  /** @return true if the attempt may have run, ended and been removed after ended_flow_ttl. */
   bool mayHaveExpired(const Data& data) const;
 
   /**
-   * Right after a start, placements can't be told from those of an earlier life, because clocks
-   * differ; the report asks for none until then.
+   * Within the clock skew of a start, new placements can't be told apart from placements on an
+   * earlier incarnation. The backend reports that it is not ready until that time has passed.
    */
   bool isReady() const;
   Flow& admit(const Data& data, const Forward& forward);
@@ -149,7 +150,7 @@
   DatagramSender& sender_;
   const MonotonicTime started_at_;
   const SystemTime started_at_system_;
-  /** Ordered, so that the simulator's trace does not depend on hashing. */
+  /** Ordered, so that the simulator's trace doesn't depend on hash order. */
   std::map<FlowKey, Flow> flows_;
   std::deque<FlowKey> queue_;
   std::uint32_t busy_slots_ = 0;
--- a/src/sim/baseline_router.cc
+++ b/src/sim/baseline_router.cc
@@ -24,7 +24,7 @@
 
 using Backends = std::vector<const Backend*>;
 
-/** What both baselines share: parsing, the local view, and the back ends' refusals. */
+/** Common part of both baselines: parsing, the local view, and refusals of backends. */
 class HashingRouter : public BaselineRouter {
  public:
   HashingRouter(const Node& node, const TimeSource& time_source, DatagramSender& sender)
@@ -43,7 +43,7 @@
   }
 
  protected:
-  /** @return the back end for a flow, out of the candidates of this balancer's view. */
+  /** @return the backend for a flow, chosen among the candidates in this balancer's view. */
   virtual const Backend* choose(const Service& service, const FlowKey& key,
                                 const Backends& candidates) = 0;
 
@@ -73,7 +73,7 @@
           client, Refused{open.key, Reason::NoBackendInAllowedZones, kRetryAfterMilliseconds, {}});
       return;
     }
-    // Callers and back ends want a token for its time of placement; nobody routes by this one.
+    // Clients and backends need a token for its time of placement; it isn't used for routing.
     Placement placement;
     placement.key = open.key;
     placement.service = backend->service;
@@ -124,7 +124,7 @@
   DatagramSender& sender_;
 };
 
-/** Maglev's lookup table (Eisenbud et al., NSDI 2016) for one set of back ends. */
+/** Maglev lookup table (Eisenbud et al., NSDI 2016) for one set of backends. */
 class MaglevTable {
  public:
   explicit MaglevTable(const Backends& backends) : entries_(kSize, kEmpty) {
@@ -146,7 +146,7 @@
   static constexpr std::size_t kSize = 2039;
   static constexpr std::uint32_t kEmpty = 0;
 
-  /** @return the next slot of the back end's permutation that is still empty. */
+  /** @return the next empty slot in the backend's permutation. */
   std::size_t freeSlot(const Backend& backend, std::uint64_t& next) const {
     const std::uint64_t offset = hashOf(backend.id.value(), 0, 1) % kSize;
     const std::uint64_t skip = hashOf(backend.id.value(), 0, 2) % (kSize - 1) + 1;
@@ -169,10 +169,10 @@
  private:
   const Backend* choose(const Service& service, const FlowKey& key,
                         const Backends& candidates) override {
-    const auto known = flows_.find(key);
-    if (known != flows_.end()) {
+    const auto entry = flows_.find(key);
+    if (entry != flows_.end()) {
       for (const Backend* backend : candidates) {
-        if (backend->id == known->second) {
+        if (backend->id == entry->second) {
           return backend;
         }
       }
--- a/src/sim/baseline_router.h
+++ b/src/sim/baseline_router.h
@@ -7,34 +7,34 @@
 #include "balancer/node.h"
 
 /**
- * Data paths without placement tokens, to measure against: they see the same configuration and the
- * same load table as the node that they stand in for.
+ * Baseline data paths without placement tokens, for comparison. They use the configuration and the
+ * load table of the node whose data path they replace.
  */
 namespace lugfork {
 
 /** How balancers route in a simulation. */
 enum class RouterKind {
-  /** The daemon's own data path. */
+  /** The data path of the daemon, with placement tokens. */
   Token,
-  /** A flow table at each balancer, and Maglev hashing over its view for flows not in it. */
+  /** A flow table in each balancer; Maglev hashing over its view for flows not in the table. */
   MaglevTable,
-  /** Weighted rendezvous hashing over each balancer's view; no state. */
+  /** Stateless weighted rendezvous hashing over each balancer's view. */
   Rendezvous,
 };
 
-/** Names of the kinds, in their order. */
+/** @return the names of the router kinds, in the order of the enumerators. */
 const std::vector<std::string>& routerKindNames();
 
-/** Chooses the back end of each datagram from its flow and the balancer's view alone. */
+/** Chooses the backend of each datagram from its flow and the balancer's view only. */
 class BaselineRouter {
  public:
   virtual ~BaselineRouter() = default;
 
-  /** Handles one datagram from a caller, the fabric or a back end. */
+  /** Handles one datagram from a client, the fabric or a backend. */
   virtual void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from) = 0;
 };
 
-/** @return the baseline; nullptr for RouterKind::Token. */
+/** @return the baseline router; nullptr for RouterKind::Token. */
 std::unique_ptr<BaselineRouter> makeBaselineRouter(RouterKind kind, const Node& node,
                                                    const TimeSource& time_source,
                                                    DatagramSender& sender);
--- a/src/sim/call_generator.cc
+++ b/src/sim/call_generator.cc
@@ -10,7 +10,7 @@
 
 constexpr Endpoint kClientAddress{0x0a090001, 5000};
 constexpr Duration kTickInterval = milliseconds(20);
-/** Calls begin when the fleet has had the time to read its configuration. */
+/** Delay before the first calls, so that the fleet can read its configuration. */
 constexpr Duration kWarmUp = seconds(3);
 
 }  // namespace
--- a/src/sim/call_generator.h
+++ b/src/sim/call_generator.h
@@ -9,18 +9,18 @@
 
 namespace lugfork {
 
-/** Makes the scenario's calls through the fabric and records what the callers see. */
+/** Makes the scenario's calls through the fabric and records what the clients observe. */
 class CallGenerator {
  public:
   CallGenerator(const Scenario& scenario, Fleet& fleet);
 
-  /** Begins calls for the scenario's duration. */
+  /** Starts calls throughout the scenario's duration. */
   void start();
 
-  /** @return true once all calls were begun and have ended. */
+  /** @return true once all calls have started and ended. */
   bool isDone() const;
 
-  /** Records the calls that have not ended; to be called once, at the end. */
+  /** Records the calls that have not ended; call it once, at the end of the simulation. */
   void recordUnfinished();
 
  private:
@@ -36,7 +36,7 @@
   void onDatagram(std::span<const std::uint8_t> bytes);
   void tick();
 
-  /** Lets the call handle an input, then records what came of it. */
+  /** Passes an input to the call, then records breaks, refusals and the result. */
   void drive(ActiveCall& call, const std::function<void()>& input, const Refused* refused);
   void recordPlacement(const FlowKey& key, const TokenBytes& token);
   void finish(const ActiveCall& call);
--- a/src/sim/caller_model.cc
+++ b/src/sim/caller_model.cc
@@ -41,9 +41,10 @@
 void CallerModel::onAnswerPiece(const Answer& piece) {
   ++observation_.pieces;
   observation_.backends.insert(piece.backend);
-  const bool own = piece.service == service_id_ &&
-                   piece.payload == answerPayload(service_id_, observation_.flow, piece.sequence);
-  observation_.wrong_pieces += own ? 0 : 1;
+  const bool is_expected =
+      piece.service == service_id_ &&
+      piece.payload == answerPayload(service_id_, observation_.flow, piece.sequence);
+  observation_.wrong_pieces += is_expected ? 0 : 1;
 }
 
 std::optional<FlowId> flowOfReply(const Datagram& datagram) {
--- a/src/sim/caller_model.h
+++ b/src/sim/caller_model.h
@@ -7,21 +7,21 @@
 
 namespace lugfork {
 
-/** What one call of the stand-in caller observed. */
+/** What the test client observed in one call. */
 struct CallObservation {
   FlowId flow;
   WorkKind kind = WorkKind::PreCheck;
   /** Answer pieces whose content belongs to another flow, service or position. */
   std::uint32_t wrong_pieces = 0;
   std::uint32_t pieces = 0;
-  /** Back ends that served pieces of this call. */
+  /** Backends that served pieces of this call. */
   std::set<BackendId> backends;
 };
 
-/** Stand-in caller: one call with a work order, and a check of every answer piece. */
+/** Test client: makes one call with a work order and checks every answer piece. */
 class CallerModel : private CallerOutputs {
  public:
-  /** Sends towards the fabric. */
+  /** Sends a datagram to the service through the fabric. */
   using Send = std::function<void(const Datagram&)>;
 
   CallerModel(CallerSettings settings, Endpoint service, ServiceId service_id, WorkOrder order,
@@ -45,10 +45,10 @@
   CallerFlow flow_;
 };
 
-/** @return the flow that a datagram to a caller belongs to; nothing for other datagrams. */
+/** @return the flow of a datagram sent to a client; nullopt for other datagrams. */
 std::optional<FlowId> flowOfReply(const Datagram& datagram);
 
-/** Stable name of a result, for output. */
+/** @return the stable name of a result, for output. */
 const char* toString(CallResult result);
 
 }  // namespace lugfork
--- a/src/sim/event_queue.cc
+++ b/src/sim/event_queue.cc
@@ -18,7 +18,7 @@
 
 void EventQueue::runUntil(MonotonicTime end) {
   while (!entries_.empty() && entries_.top().at <= end) {
-    // The queue gives no mutable access to its top; the entry is removed right after.
+    // std::priority_queue has no mutable access to its top; the entry is removed right after.
     Entry entry = std::move(const_cast<Entry&>(entries_.top()));
     entries_.pop();
     now_ = entry.at;
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -8,25 +8,25 @@
 
 namespace lugfork {
 
-/** Virtual clock and the events due on it. Events at the same time run in the order scheduled. */
+/** Virtual clock with scheduled events. Events at the same time run in scheduling order. */
 class EventQueue {
  public:
   using Event = std::function<void()>;
 
   MonotonicTime now() const { return now_; }
 
-  /** Schedules an event; one in the past runs next. */
+  /** Schedules an event; an event in the past runs at the current time. */
   void schedule(MonotonicTime at, Event event);
   void scheduleAfter(Duration delay, Event event) { schedule(now_ + delay, std::move(event)); }
 
-  /** Calls a function at a fixed interval as long as it returns true. */
+  /** Calls a function at a fixed interval until it returns false. */
   void repeat(Duration interval, std::function<bool()> function);
 
   /** Runs all events up to and including the given time. */
   void runUntil(MonotonicTime end);
   void runFor(Duration duration) { runUntil(now_ + duration); }
 
-  /** @return how many events have run. */
+  /** @return the number of events that have run. */
   std::uint64_t executed() const { return executed_; }
 
  private:
@@ -41,7 +41,7 @@
     }
   };
 
-  // The virtual clock starts at a positive time, so that zero can stand for "never".
+  // The virtual clock starts at a positive time, because zero stands for "never".
   MonotonicTime now_{seconds(1000)};
   std::uint64_t next_sequence_ = 0;
   std::uint64_t executed_ = 0;
--- a/src/sim/fabric_model.h
+++ b/src/sim/fabric_model.h
@@ -9,16 +9,16 @@
 
 namespace lugfork {
 
-/** Sends each datagram to a random balancer out of those that looked healthy a while ago. */
+/** Sends each datagram to a random balancer among those that were healthy health_lag ago. */
 class FabricModel {
  public:
   FabricModel(RandomGenerator& random, Duration health_lag)
       : random_(random), health_lag_(health_lag) {}
 
-  /** Notes which balancers are healthy now; to be called every 100 ms or so. */
+  /** Records which balancers are healthy now; call it about every 100 ms. */
   void observe(MonotonicTime now, std::vector<Endpoint> healthy);
 
-  /** @return a balancer, or an unset endpoint where none is believed healthy. */
+  /** @return a balancer, or an unset endpoint if none was healthy. */
   Endpoint choose();
 
  private:
--- a/src/sim/fault_injector.cc
+++ b/src/sim/fault_injector.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-/** A back end that stands still for longer can't be told from a dead one by its callers. */
+/** Clients can't tell a backend that is paused for longer from a failed one. */
 constexpr Duration kMaxTolerablePause = seconds(2);
-/** After a restart, placements of balancers that did not notice it look as if made before it. */
+/** Balancers that haven't detected a restart yet send placements that appear older than it. */
 constexpr Duration kRestartUncertainty = seconds(1);
 constexpr Duration kColdStartDuration = seconds(10);
 constexpr Duration kRaceDuration = seconds(2);
--- a/src/sim/fault_injector.h
+++ b/src/sim/fault_injector.h
@@ -4,12 +4,12 @@
 
 namespace lugfork {
 
-/** Makes the faults of a table happen in a fleet, and records them for the checks. */
+/** Injects the faults of a table into a fleet and records them for the checks. */
 class FaultInjector {
  public:
   explicit FaultInjector(Fleet& fleet) : fleet_(fleet), planned_maintenance_(fleet) {}
 
-  /** Schedules all faults; their times count from now. */
+  /** Schedules all faults; their times are relative to now. */
   void schedule(const std::vector<Fault>& faults);
 
  private:
@@ -33,7 +33,7 @@
   void recordOutage(BackendId backend, Duration duration);
   void recordIsolation(Duration duration);
 
-  /** Runs a function after the duration, unless that is 0: then the fault stays. */
+  /** Runs the function that ends a fault after the duration; 0 makes the fault permanent. */
   void scheduleEnd(Duration duration, std::function<void()> function);
   std::vector<std::size_t> replicasOf(const Fault& fault) const;
 
--- a/src/sim/fault_table.cc
+++ b/src/sim/fault_table.cc
@@ -11,7 +11,7 @@
 
 constexpr std::uint32_t kMaxMilliseconds = 600000;
 
-/** Names that a fault's target may take. */
+/** Valid names for the target of a fault. */
 std::vector<std::string> targetsOf(FaultKind kind, const Scenario& scenario) {
   const auto parsed = parseConfigurationDocument(scenario.configuration);
   const Configuration& configuration = parsed.value();
@@ -173,7 +173,7 @@
 
 namespace {
 
-/** Draws the single faults of a storm. */
+/** Draws the faults of a storm. */
 class StormGenerator {
  public:
   StormGenerator(const Scenario& scenario, std::uint64_t seed)
@@ -197,7 +197,7 @@
 
  private:
   static constexpr std::uint32_t kRounds = 3;
-  // All kinds but WithdrawZone: that ends the flows in the zone because the operator wants so.
+  // All kinds except WithdrawZone, which ends established flows in the zone on purpose.
   static constexpr std::uint64_t kStormKinds = static_cast<std::uint64_t>(FaultKind::WithdrawZone);
 
   Fault drawOne(FaultKind kind, Duration at) {
--- a/src/sim/fault_table.h
+++ b/src/sim/fault_table.h
@@ -5,44 +5,44 @@
 
 #include "sim/scenario.h"
 
-/** Faults and planned changes of a simulation: read from a table or drawn as a random storm. */
+/** Faults and planned changes of a simulation: read from a table or drawn at random (a storm). */
 namespace lugfork {
 
-/** What happens. The names in fault tables are those of faultKindNames(), in this order. */
+/** Kinds of fault. Fault tables use the names of faultKindNames(), in this order. */
 enum class FaultKind {
-  /** A balancer or back end dies; it starts again after the duration, or never where it is 0. */
+  /** A balancer or backend is killed; it restarts after the duration, or never if that is 0. */
   Kill,
-  /** A process stands still and then goes on with what has arrived meanwhile. */
+  /** A process is paused; on resume it handles what has arrived in the meantime. */
   Pause,
-  /** A balancer stands still between its checks and its sends: all it sends goes out late. */
+  /** A balancer is paused between its checks and its sends: all its output is delayed. */
   HoldOutput,
-  /** Zones or processes can't reach each other; peer "*" stands for all other zones. */
+  /** Zones or processes can't reach each other; peer "*" means all other zones. */
   Cut,
-  /** A back end is told to drain; the configuration says so too. */
+  /** A backend is set to draining, by itself and in the configuration. */
   Drain,
-  /** Only the configuration says that the back end drains. */
+  /** A backend is draining in the configuration only; the backend itself isn't notified. */
   DeclaredDrain,
-  /** A back end starts again, and its work takes longer at first. */
+  /** A backend is killed and restarts after the duration; its work takes longer at first. */
   ColdStart,
-  /** A back end refuses everything new. */
+  /** A backend refuses all new flows as overloaded. */
   Shed,
-  /** A back end reports its load times factor, as of lag ago. */
+  /** A backend reports its load multiplied by factor and as of lag ago. */
   DistortLoad,
-  /** Replicas of the platform don't answer; target is the replica's number or "*". */
+  /** Replicas of the platform don't answer; target is a replica's number or "*" for all. */
   PlatformOutage,
-  /** A replica answers with what was true before the fault began. */
+  /** A replica answers with its state from before the fault. */
   StaleReplica,
-  /** A new version of the configuration, with nothing changed that matters to flows. */
+  /** A new configuration version is published, without changes that affect flows. */
   Publish,
-  /** Two documents with the same version at different replicas. */
+  /** Two documents with the same version are published at different replicas. */
   ConfigurationRace,
-  /** A balancer or back end is stopped in the way meant for it, and started again. */
+  /** A balancer or backend is stopped gracefully and restarted. */
   PlannedStop,
-  /** All balancers (target "balancers"), or all back ends of a service, one after the other. */
+  /** Graceful restart of all balancers (target "balancers") or all backends of a service. */
   RollingRestart,
-  /** Links lose and repeat datagrams with probability factor. */
+  /** Links lose and duplicate datagrams, each with probability factor. */
   Loss,
-  /** A zone is withdrawn from a service: target is the service, peer the zone. */
+  /** A zone is removed from the allowed zones of a service: target service, peer zone. */
   WithdrawZone,
   Last = WithdrawZone,
 };
@@ -51,7 +51,7 @@
 struct Fault {
   Duration at{};
   FaultKind kind = FaultKind::Kill;
-  /** Name of a balancer, back end, zone, service or replica, as the kind wants it. */
+  /** Name of a balancer, backend, zone, service or replica, depending on the kind. */
   std::string target;
   std::string peer;
   Duration duration{};
@@ -63,20 +63,20 @@
 const std::vector<std::string>& faultKindNames();
 const char* toString(FaultKind kind);
 
-/** @return true for changes that operators or the platform make on purpose. */
+/** @return true for planned changes by operators or the platform. */
 bool isPlanned(FaultKind kind);
 
-/** Reads a fault table and checks every target against the scenario. */
+/** Reads a fault table and validates every target against the scenario. */
 Result<std::vector<Fault>, ScenarioError> readFaultTable(const std::string& path,
                                                          const Scenario& scenario);
 
 /**
- * Draws a storm: one, two or three kinds of fault together, over the scenario's duration. The
- * same seed gives the same storm.
+ * Draws a random fault schedule (a storm) that combines one to three kinds of fault over the
+ * scenario's duration. The same seed gives the same schedule.
  */
 std::vector<Fault> drawStorm(const Scenario& scenario, std::uint64_t seed);
 
-/** @return names of the scenario's balancers: zone-balancer-number. */
+/** @return the names of the scenario's balancers: <zone>-balancer-<number>. */
 std::vector<std::string> balancerNames(const Scenario& scenario);
 
 }  // namespace lugfork
--- a/src/sim/fleet.cc
+++ b/src/sim/fleet.cc
@@ -95,7 +95,7 @@
 void Fleet::killBalancer(SimulatedNode& balancer) {
   balancer.kill();
   const std::string& name = balancer.settings().name;
-  // The lives of one name are in order: the last one is the one that ends here.
+  // Uptimes of one name are in order: the last one ends here.
   std::prev(observations_.node_uptimes.upper_bound(name))->second.until = queue_.now();
   machines_.erase(name);
   updateMachineList();
@@ -141,7 +141,7 @@
 }
 
 void Fleet::addBalancers(const Scenario& scenario, const FleetOptions& options) {
-  NodeEnvironment& surroundings = *this;
+  NodeEnvironment& environment = *this;
   std::uint32_t host = kBalancerNetwork;
   for (const std::string& name : balancerNames(scenario)) {
     ++host;
@@ -153,7 +153,7 @@
     settings.flow.placement_lifetime = options.placement_lifetime;
     SimulatedProcess& process = addProcess(name, settings.zone);
     balancers_.push_back(std::make_unique<SimulatedNode>(settings, Endpoint{host, kDataPort},
-                                                         process, network_, surroundings, log_,
+                                                         process, network_, environment, log_,
                                                          random_->next(), options.router));
   }
 }
@@ -174,9 +174,9 @@
 }
 
 Duration Fleet::randomSkew() {
-  const double share = 2 * random_->unit() - 1;
+  const double factor = 2 * random_->unit() - 1;
   return Duration(
-      static_cast<std::int64_t>(share * static_cast<double>(scenario_.clock_skew.count())));
+      static_cast<std::int64_t>(factor * static_cast<double>(scenario_.clock_skew.count())));
 }
 
 void Fleet::updateMachineList() {
@@ -232,7 +232,7 @@
         sum += sample.loads.back();
       }
     }
-    // With less than one flow to a back end the ratio shows chance and no placement.
+    // With less than one flow per backend the ratio is dominated by chance, not by placement.
     if (!sample.loads.empty() && sum >= static_cast<double>(sample.loads.size())) {
       observations_.loads.push_back(std::move(sample));
     }
--- a/src/sim/fleet.h
+++ b/src/sim/fleet.h
@@ -11,16 +11,16 @@
 
 namespace lugfork {
 
-/** Choices of one simulation that the scenario leaves open. */
+/** Options of one simulation that aren't part of the scenario. */
 struct FleetOptions {
   RouterKind router = RouterKind::Token;
   std::string placement_policy = "power_of_two";
   std::uint64_t seed = 1;
-  /** Time in which a placement may start work; tests make it long to show what it is for. */
+  /** Time in which a placement may start work; tests disable the limit with a long time. */
   Duration placement_lifetime = BackendModelSettings().placement_lifetime;
 };
 
-/** All machines of a scenario: balancers, back ends, platform and fabric, and their network. */
+/** All machines of a scenario: balancers, backends, platform and fabric, and their network. */
 class Fleet : private NodeEnvironment {
  public:
   Fleet(const Scenario& scenario, const FleetOptions& options, Observations& observations);
@@ -32,12 +32,12 @@
   SimulatedNetwork& network() { return network_; }
   RandomGenerator& random() { return *random_; }
   FabricModel& fabric() { return fabric_; }
-  /** @return the process that all callers share. */
+  /** @return the process shared by all clients. */
   SimulatedProcess& clients() { return clients_; }
   PlatformReplicas& platform() { return platform_; }
   Observations& observations() { return observations_; }
 
-  /** @return the machine with that name, or nullptr. */
+  /** @return the balancer with that name, or nullptr. */
   SimulatedNode* balancer(const std::string& name);
   SimulatedBackend* backend(const std::string& name);
 
@@ -45,9 +45,9 @@
   const std::vector<std::unique_ptr<SimulatedBackend>>& backends() const { return backends_; }
 
   void startBalancer(SimulatedNode& balancer);
-  /** Ends the process; the platform's list shows it after its lag. */
+  /** Kills the process; the platform's machine list reflects it after its lag. */
   void killBalancer(SimulatedNode& balancer);
-  /** The platform's list shows the balancer as leaving after its lag; the fabric after its own. */
+  /** Marks the balancer as leaving; the machine list and the fabric reflect it after their lags. */
   void beginLeaving(SimulatedNode& balancer);
 
   /** @return the latest published configuration. */
@@ -56,10 +56,10 @@
   /** Publishes the changed configuration with the next version at all replicas. */
   void publish(const std::function<void(Configuration&)>& change);
 
-  /** Publishes one document at the first replica, and another of the same version at the rest. */
+  /** Publishes a document at the first replica and a different one of that version at the rest. */
   void publishConflict();
 
-  /** @return names of the zones that the configuration declares. */
+  /** @return the names of the zones declared in the configuration. */
   std::vector<std::string> zoneNames() const;
 
  private:
@@ -93,7 +93,7 @@
   std::vector<std::unique_ptr<SimulatedNode>> balancers_;
   std::vector<std::unique_ptr<SimulatedBackend>> backends_;
   std::map<BackendId, SimulatedBackend*> backends_by_id_;
-  /** Machines as the platform will list them once its lag has passed. */
+  /** Machines as the platform lists them once its lag has passed. */
   std::map<std::string, Machine> machines_;
   std::map<std::string, std::uint64_t> versions_seen_;
 };
--- a/src/sim/in_process_fleet.cc
+++ b/src/sim/in_process_fleet.cc
@@ -14,7 +14,7 @@
 constexpr Duration kPlatformDelay = milliseconds(20);
 constexpr Duration kStep = milliseconds(20);
 constexpr std::size_t kRegions = 5;
-/** The load of a back end changes once in this time. */
+/** Interval at which the reported load of a backend changes. */
 constexpr std::uint64_t kLoadPeriodMilliseconds = 5000;
 
 std::string zoneName(std::size_t index) {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-/** One hollow node: the Node, its process and the outputs around it. */
+/** One Node with its simulated process and its outputs. */
 class InProcessFleet::InProcessNode : public NodeOutputs {
  public:
   InProcessNode(InProcessFleet& fleet, std::size_t index, NodeSettings settings)
@@ -46,7 +46,7 @@
   void start() {
     process_.start();
     node_ = std::make_unique<Node>(settings_, process_.timeSource(), *random_, *this, fleet_.log_);
-    // Nodes do not tick in step.
+    // A random phase keeps the nodes from ticking in lockstep.
     const auto tick = static_cast<std::uint64_t>(fleet_.settings_.tick.count());
     process_.runAfter(Duration(random_->below(tick)), [this] { onTick(); });
   }
--- a/src/sim/in_process_fleet.h
+++ b/src/sim/in_process_fleet.h
@@ -8,7 +8,7 @@
 
 namespace lugfork {
 
-/** Sizes and timing of a fleet of hollow nodes. */
+/** Settings of InProcessFleet. */
 struct InProcessFleetSettings {
   std::size_t nodes = 3;
   std::size_t backends = 19;
@@ -17,25 +17,25 @@
   std::uint64_t seed = 1;
   Duration tick = milliseconds(100);
   LinkSettings links;
-  /** Settings of each node, but for its name, zone and address. */
+  /** Settings of each node, except its name, zone and address. */
   NodeSettings node;
 };
 
-/** What one hollow node sent, all lives together. */
+/** Counters of one node over all its incarnations. */
 struct InProcessNodeCounters {
   std::uint64_t max_message_bytes = 0;
 };
 
 /**
- * Many real Nodes in one process on a virtual clock, with a platform and back ends that answer
- * probes; no data path. For tests of what nodes tell each other under faults.
+ * Many Nodes in one process without sockets, on a virtual clock, with a platform and backends that
+ * answer probes; no data path. Used to test the exchange between nodes under faults.
  */
 class InProcessFleet {
  public:
   explicit InProcessFleet(InProcessFleetSettings settings);
   ~InProcessFleet();
 
-  /** @return a configuration of the sizes given, with version 1. */
+  /** @return a configuration with the given numbers of items and version 1. */
   static Configuration makeConfiguration(const InProcessFleetSettings& settings);
 
   std::size_t size() const;
@@ -50,7 +50,7 @@
   /** Runs in small steps until the condition holds. @return the time it took, or the limit. */
   Duration runUntil(const std::function<bool()>& condition, Duration limit);
 
-  /** @return the node of this life; nullptr while it is dead. */
+  /** @return the running node; nullptr while its process is killed. */
   Node* node(std::size_t index);
   const Node* node(std::size_t index) const;
   const InProcessNodeCounters& counters(std::size_t index) const;
@@ -61,34 +61,34 @@
   /** Publishes a configuration at the platform. */
   void publish(const Configuration& configuration);
 
-  /** Makes one zone's reads of the platform see another text: a stale replica. */
+  /** Makes platform reads of one zone return another text, as from a stale replica. */
   void setReplica(const std::string& zone, const std::string& text) { replicas_[zone] = text; }
   void clearReplicas() { replicas_.clear(); }
   const std::string& platformText() const { return platform_text_; }
 
-  /** Lets a zone, or every zone where empty, reach the platform or not. */
+  /** Sets whether a zone can reach the platform; an empty name means every zone. */
   void setPlatformReachable(const std::string& zone, bool reachable);
 
-  /** Cuts a zone off from all other zones, both ways. */
+  /** Cuts the links between a zone and all other zones, in both directions. */
   void cutZone(const std::string& zone);
   void heal() { network_.healAll(); }
   SimulatedNetwork& network() { return network_; }
 
-  /** The platform's machine list; all nodes at first. */
+  /** @return the platform's machine list; it initially contains all nodes. */
   std::vector<Machine>& machineList() { return machines_; }
   Machine machineOf(std::size_t index) const;
 
-  /** Makes a back end answer probes as draining. */
+  /** Makes a backend answer probes as draining. */
   void setDraining(BackendId backend) { draining_.insert(backend); }
 
-  /** @return true if all running nodes have that version in force. */
+  /** @return true if that version is in force on all running nodes. */
   bool allHaveVersion(ConfigVersion version) const;
 
-  /** @return true if all running nodes believe that of the other node. */
+  /** @return true if all other running nodes have the node in that state. */
   bool allReportState(std::size_t index, MemberState state) const;
-  /** @return true if no running node places on the back end any more. */
+  /** @return true if all running nodes exclude the backend from placement. */
   bool allExclude(const Backend& backend) const;
-  /** @return times that a node's version in force went down within one life. */
+  /** @return how often a node's version in force went down within one incarnation. */
   std::uint64_t configurationReverts() const { return reverts_; }
 
  private:
--- a/src/sim/observations.h
+++ b/src/sim/observations.h
@@ -8,10 +8,10 @@
 #include "client/caller_flow.h"
 #include "sim/backend_model.h"
 
-/** What callers, back ends and nodes observed in one simulation; all that the checks look at. */
+/** What clients, backends and nodes observed in one simulation; the input of all checks. */
 namespace lugfork {
 
-/** A stretch of virtual time; until is MonotonicTime::max() where it did not end. */
+/** An interval of virtual time; until is MonotonicTime::max() if it hasn't ended. */
 struct Interval {
   MonotonicTime from;
   MonotonicTime until = MonotonicTime::max();
@@ -21,14 +21,14 @@
   }
 };
 
-/** One placement that a caller got. */
+/** One placement received by a client. */
 struct PlacementObservation {
   FlowKey key;
   BackendId backend;
   MonotonicTime at;
 };
 
-/** One refusal that a caller took as final word on an attempt. */
+/** One refusal that ended an attempt at the client. */
 struct RefusalObservation {
   FlowKey key;
   Reason reason = Reason::None;
@@ -37,14 +37,14 @@
   MonotonicTime at;
 };
 
-/** An established attempt was lost (no reason) or reset. */
+/** Loss (without a reason) or reset of an established attempt. */
 struct BreakObservation {
   FlowKey key;
   MonotonicTime at;
   Reason reason = Reason::None;
 };
 
-/** One call as its caller saw it. */
+/** One call as observed by its client. */
 struct CallRecord {
   FlowId flow;
   ServiceId service;
@@ -54,13 +54,13 @@
   std::uint32_t wrong_pieces = 0;
   MonotonicTime started_at;
   MonotonicTime ended_at;
-  /** Nothing where the call had not ended when the simulation did. */
+  /** Empty if the call had not ended by the end of the simulation. */
   std::optional<CallResult> result;
   Duration retry_after{};
   std::vector<BreakObservation> breaks;
 };
 
-/** One start of work at a back end. */
+/** One start of work at a backend. */
 struct RunObservation {
   FlowKey key;
   WorkKind kind = WorkKind::PreCheck;
@@ -71,26 +71,26 @@
   MonotonicTime admitted_at;
 };
 
-/** A node took another version of the configuration into force. */
+/** A node applied another version of the configuration. */
 struct VersionObservation {
   std::string node;
   std::uint64_t version = 0;
   MonotonicTime at;
 };
 
-/** A version of the configuration that the platform accepted. */
+/** A configuration version accepted by the platform. */
 struct PublicationObservation {
   std::uint64_t version = 0;
   MonotonicTime at;
 };
 
-/** Load of the back ends of one service that are up and take work, at one moment. */
+/** Loads of the backends of one service that accept work, at one point in time. */
 struct LoadSample {
   ServiceId service;
   std::vector<double> loads;
 };
 
-/** A zone that a service must not be served from, from a moment on. */
+/** Removal of a zone from the allowed zones of a service. */
 struct ZoneWithdrawal {
   ServiceId service;
   ZoneId zone;
@@ -107,17 +107,17 @@
   std::vector<PublicationObservation> publications;
   std::vector<LoadSample> loads;
   std::vector<ZoneWithdrawal> withdrawals;
-  /** Times in which a back end was dead, or stood still for too long, without a plan. */
+  /** Unplanned outages of backends: times in which one was dead or paused for too long. */
   std::multimap<BackendId, Interval> unplanned_outages;
-  /** Times in which a back end was leaving and had been told or declared so. */
+  /** Times in which a backend was draining, by itself or in the configuration. */
   std::multimap<BackendId, Interval> drains;
-  /** Times in which some machine was being stopped in the way meant for it. */
+  /** Times in which a machine was being stopped gracefully. */
   std::vector<Interval> planned_stops;
-  /** Times in which news could not spread: cuts, outages and stale replicas of the platform. */
+  /** Times in which updates couldn't propagate: cuts, platform outages, stale replicas. */
   std::vector<Interval> isolation;
-  /** Times in which a node was running, by name. */
+  /** Times in which a node was running, by node name. */
   std::multimap<std::string, Interval> node_uptimes;
-  /** Times in which a node stood still. */
+  /** Times in which a node was paused, by node name. */
   std::multimap<std::string, Interval> node_pauses;
 };
 
--- a/src/sim/planned_maintenance.cc
+++ b/src/sim/planned_maintenance.cc
@@ -4,10 +4,10 @@
 
 namespace {
 
-/** Time for which a stopping balancer goes on relaying. */
+/** Time for which a stopping balancer continues to forward. */
 constexpr Duration kLeaveDuration = seconds(2);
 constexpr Duration kEmptyCheckInterval = milliseconds(100);
-/** Time after a start in which a back end reports that it is not ready. */
+/** Time after a start during which a backend reports that it is not ready. */
 constexpr Duration kReadinessDelay = 2 * BackendModelSettings().clock_skew;
 
 }  // namespace
@@ -81,7 +81,7 @@
                                        const std::function<void()>& done) {
   const bool same_incarnation = backend.process().generation() == generation;
   const bool empty = backend.model() != nullptr && backend.model()->openFlows() == 0;
-  // The drain has to be known everywhere before an empty back end stays empty.
+  // Until all balancers have the drain, an empty backend may still get new flows.
   const MonotonicTime started_at = fleet_.observations().planned_stops[stop].from;
   const bool propagated = fleet_.queue().now() - started_at >= 2 * kLeaveDuration;
   if (same_incarnation && (!empty || !propagated)) {
@@ -98,7 +98,7 @@
     if (!backend.process().isRunning()) {
       backend.start(Duration::zero());
     }
-    // Operators put a back end into service again once it reports that it is ready.
+    // As operators do, ends the drain only once the backend reports that it is ready.
     fleet_.queue().scheduleAfter(kReadinessDelay, [this, &backend, done] {
       endDrain(backend);
       done();
--- a/src/sim/planned_maintenance.h
+++ b/src/sim/planned_maintenance.h
@@ -5,29 +5,29 @@
 namespace lugfork {
 
 /**
- * What operators do to a fleet on purpose: drains, planned stops and restarts one after the other.
- * Recorded for the checks, since planned work must not break a flow.
+ * Planned maintenance of a fleet by its operators: drains, graceful stops and rolling restarts.
+ * Recorded for the checks, because planned maintenance must not break a flow.
  */
 class PlannedMaintenance {
  public:
   explicit PlannedMaintenance(Fleet& fleet) : fleet_(fleet) {}
 
-  /** @param told the back end itself knows that it drains. */
+  /** @param notify_backend also sets the backend itself to draining, not only the configuration. */
   void startDrain(SimulatedBackend& backend, bool notify_backend);
-  /** Ends one drain of a back end; others of it may still be in force. */
+  /** Ends one drain of a backend; it drains until all its drains have ended. */
   void endDrain(SimulatedBackend& backend);
 
-  /** Stops a balancer as an operator would, and starts it again. @param done runs after that. */
+  /** Stops a balancer gracefully and restarts it. @param done runs after the restart. */
   void stopBalancer(SimulatedNode& balancer, Duration down_time, const std::function<void()>& done);
 
-  /** Drains a back end, waits until it is empty, stops it and starts it again. */
+  /** Drains a backend, waits until it has no open flows, stops it and restarts it. */
   void stopBackend(SimulatedBackend& backend, Duration down_time,
                    const std::function<void()>& done);
 
-  /** Stops and starts balancers and back ends, each after the one before it is back. */
+  /** Restarts balancers and backends one by one, each after the previous one is running. */
   void restartSequentially(std::vector<std::string> names, Duration down_time);
 
-  /** Takes a zone out of those that a service allows. */
+  /** Removes a zone from the allowed zones of a service. */
   void withdrawZone(const std::string& service, const std::string& zone);
 
  private:
--- a/src/sim/platform_item_source.cc
+++ b/src/sim/platform_item_source.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Time between two looks at the platform while a watch waits. */
+/** Interval at which the platform is polled during a watch. */
 constexpr Duration kPollInterval = milliseconds(20);
 
 }  // namespace
--- a/src/sim/platform_item_source.h
+++ b/src/sim/platform_item_source.h
@@ -10,8 +10,8 @@
 inline constexpr const char* kMachinesItem = "machines";
 
 /**
- * The product's own stand-in of a platform as a store of items: its document and its machine list,
- * each one item, with a revision for each change. The interface is that of every platform.
+ * PlatformModel as an item source: the configuration document and the machine list are one item
+ * each, with a new revision for each change. Implements the interface common to all platforms.
  */
 class PlatformItemSource : public ItemSource {
  public:
@@ -22,11 +22,11 @@
   void watch(const WatchRequest& request, WatchCallback callback) override;
 
  private:
-  /** Gives texts that have changed since the last call their revisions. */
+  /** Assigns new revisions to texts that have changed since the last call. */
   void refresh();
   void refreshItem(Item& item, const std::string& text);
   std::vector<Item> itemsAfter(const std::string& prefix, Revision after) const;
-  /** Answers with changes once there are some, or at the end of the wait. */
+  /** Answers as soon as there are changes, or at the end of the wait. */
   void watchUntil(const WatchRequest& request, MonotonicTime end, WatchCallback callback);
 
   const PlatformModel& platform_;
--- a/src/sim/platform_model.h
+++ b/src/sim/platform_model.h
@@ -7,7 +7,7 @@
 
 namespace lugfork {
 
-/** One text that the platform serves, with its past: readers may be shown an older state. */
+/** One text served by the platform, with its history, so that reads can return stale states. */
 class LaggingText {
  public:
   explicit LaggingText(const TimeSource& time_source, std::string text)
@@ -19,7 +19,7 @@
 
   const std::string& latest() const { return states_.back().text; }
 
-  /** @return the text as it was that long ago, or the first one. */
+  /** @return the text as of lag ago, or the first one if there was none yet. */
   const std::string& asOf(Duration lag) const;
 
  private:
@@ -33,8 +33,8 @@
 };
 
 /**
- * The platform's configuration service and machine list, without its transport. The same model
- * runs in lugfork-standin and in the simulator.
+ * The platform's configuration service and machine list, without its transport. Used by
+ * lugfork-standin and the simulator.
  */
 class PlatformModel {
  public:
@@ -45,7 +45,7 @@
   Duration lag() const { return lag_; }
   void setLag(Duration lag) { lag_ = lag; }
 
-  /** @return the document as a reader sees it now: older by the lag. */
+  /** @return the document as read now, that is, as of lag ago. */
   const std::string& configuration() const { return configuration_.asOf(lag_); }
   const std::string& latestConfiguration() const { return configuration_.latest(); }
   const std::string& machines() const { return machines_.asOf(lag_); }
@@ -54,12 +54,12 @@
   /** @return the version of the latest document. */
   std::uint64_t latestVersion() const;
 
-  /** What became of a publication. */
+  /** Result of a publication. */
   enum class PublishOutcome { Published, Conflict, Invalid };
 
   /**
    * Publishes a document if the expected version is still the latest.
-   * @param problem is set to what is wrong for Conflict and Invalid.
+   * @param problem receives a description of the problem for Conflict and Invalid.
    */
   PublishOutcome publish(std::uint64_t expected_version, const std::string& document,
                          std::string& problem);
--- a/src/sim/platform_replicas.cc
+++ b/src/sim/platform_replicas.cc
@@ -40,7 +40,7 @@
   std::string problem;
   const auto outcome = model.publish(model.latestVersion(), document, problem);
   if (outcome != PlatformModel::PublishOutcome::Published) {
-    throw std::logic_error("the simulated platform refused a document: " + problem);
+    throw std::logic_error("simulated platform rejected a document: " + problem);
   }
 }
 
--- a/src/sim/platform_replicas.h
+++ b/src/sim/platform_replicas.h
@@ -11,16 +11,16 @@
 
 namespace lugfork {
 
-/** Copies of the platform's services, one process each. A read goes to one of them at random. */
+/** Replicas of the platform's services, one process each. Each read goes to a random replica. */
 class PlatformReplicas {
  public:
-  /** Longest time that a reader waits for an answer. */
+  /** Longest wait of a reader for an answer. */
   static constexpr Duration kReadTimeout = milliseconds(500);
 
   PlatformReplicas(EventQueue& queue, SimulatedNetwork& network, RandomGenerator& random)
       : queue_(queue), network_(network), random_(random) {}
 
-  /** Adds a replica in a zone; all hold the same document at first. */
+  /** Adds a replica in a zone, with the given initial document. */
   void add(const std::string& zone, const std::string& configuration);
 
   std::size_t size() const { return replicas_.size(); }
@@ -28,7 +28,7 @@
   /** Begins or ends an outage of one replica. */
   void setOutage(std::size_t replica, bool outage);
 
-  /** From now on the replica answers as of this moment. */
+  /** Makes the replica answer with its present state until it is unfrozen. */
   void freeze(std::size_t replica) { replicas_[replica]->frozen_since = queue_.now(); }
   void unfreeze(std::size_t replica) { replicas_[replica]->frozen_since.reset(); }
 
@@ -49,10 +49,10 @@
     std::unique_ptr<PlatformModel> model;
     std::optional<MonotonicTime> frozen_since;
   };
-  /** An answer of the platform; nothing during an outage. */
+  /** Answer of the platform; empty during an outage. */
   using Reply = std::optional<std::string>;
 
-  /** Reads one text of a replica drawn at random. */
+  /** Reads one text from a random replica. */
   void read(SimulatedProcess& reader, const std::string& (PlatformModel::*text)() const,
             std::function<void(const std::string&)> callback);
 
--- a/src/sim/promise_checker.cc
+++ b/src/sim/promise_checker.cc
@@ -18,7 +18,7 @@
                      [&](const auto& entry) { return entry.second.overlaps(begin, end); });
 }
 
-/** Checks one simulation. */
+/** Checks the observations of one simulation. */
 class PromiseChecker {
  public:
   PromiseChecker(const Observations& observations, const PromiseLimits& limits)
@@ -115,7 +115,7 @@
     });
   }
 
-  /** @return the time from which news of that moment could spread: after the isolation, if any. */
+  /** @return the time from which a change made at that time could propagate, isolation included. */
   MonotonicTime propagationStart(MonotonicTime at) const {
     MonotonicTime start = at;
     const MonotonicTime propagation_deadline = at + limits_.max_propagation_delay;
--- a/src/sim/promise_checker.h
+++ b/src/sim/promise_checker.h
@@ -5,64 +5,64 @@
 
 #include "sim/observations.h"
 
-/** The promises of the brief, as counts over what was observed. */
+/** Checks the promises (service guarantees) of the product against the observations. */
 namespace lugfork {
 
-/** Counts of broken promises and measures of one or more simulations. */
+/** Counts of violated promises and load statistics of one or more simulations. */
 struct PromiseReport {
   std::uint64_t seeds = 0;
   std::uint64_t flows = 0;
-  /** Breaks of established flows, and calls that never ended, that no back end's death explains. */
+  /** Breaks of established flows without a backend outage, and calls that never ended. */
   std::uint64_t broken_planned = 0;
-  /** Breaks of flows whose back end died, or stood still, without a plan. No broken promise. */
+  /** Breaks of flows during an unplanned outage of their backend. Not a violation. */
   std::uint64_t broken_unplanned = 0;
-  /** Work of a call that a back end of another service started, or pieces that it sent. */
+  /** Starts of work of a call at a backend of another service. */
   std::uint64_t misdelivered = 0;
-  /** Answers with pieces of another call or position, or whole answers with pieces missing. */
+  /** Answers with pieces of another call or position, or complete ones with missing pieces. */
   std::uint64_t crossed_answers = 0;
-  /** Starts of work that may not be repeated, beyond the first. */
+  /** Repeated starts of work that must run at most once. */
   std::uint64_t double_runs = 0;
-  /** Attempts or calls refused as not run that ran. */
+  /** Attempts or calls that were refused as not run although they ran. */
   std::uint64_t false_not_run = 0;
-  /** Work that a back end admitted more than a few seconds after it was leaving. */
+  /** Work admitted by a draining backend later than drain_grace after the start of the drain. */
   std::uint64_t late_work_on_draining = 0;
-  /** Breaks while a machine was stopped in the way meant for it; counted in broken_planned too. */
+  /** Breaks during or shortly after a graceful stop; also counted in broken_planned. */
   std::uint64_t cut_by_planned_stop = 0;
-  /** A node's version in force went down, also across its restarts. */
+  /** Decreases of a node's configuration version, including across restarts. */
   std::uint64_t config_reverts = 0;
-  /** Longest time from a publication, or the end of isolation, until all nodes had it. */
+  /** Longest time from a publication, or the end of isolation, until all nodes applied it. */
   std::uint64_t config_spread_ms_max = 0;
-  /** Work admitted in a zone that had been withdrawn from the service a few seconds before. */
+  /** Work admitted in a withdrawn zone later than max_propagation_delay after the withdrawal. */
   std::uint64_t zone_violations = 0;
   double imbalance_p50 = 0;
   double imbalance_p99 = 0;
   std::uint64_t refused = 0;
   std::uint64_t refused_without_retry_after = 0;
 
-  /** Busiest over mean of each sample, of all simulations. */
+  /** Ratio of maximum to mean load for each sample of all simulations. */
   std::vector<double> imbalance_samples;
 
-  /** @return true if no promise is broken. */
+  /** @return true if no promise is violated. */
   bool holds() const;
 
-  /** Adds another simulation's counts. */
+  /** Adds the counts of another report. */
   void add(const PromiseReport& other);
 
-  /** Fills the percentiles from the samples. */
+  /** Computes the percentiles from the samples. */
   void summarize();
 };
 
-/** Limits of the promises that say "seconds". */
+/** Time limits of the promises. */
 struct PromiseLimits {
-  /** A leaving back end may still admit work for this long. */
+  /** A draining backend may still admit work for this long. */
   Duration drain_grace = seconds(5);
-  /** Longest time for a configuration to be in force everywhere. */
+  /** Longest time until a configuration is in force on all nodes. */
   Duration max_propagation_delay = seconds(5);
-  /** Time after a planned stop in which a break counts against it. */
+  /** Time after a planned stop in which breaks are attributed to it. */
   Duration stop_break_window = seconds(5);
 };
 
-/** Counts broken promises in what one simulation observed. */
+/** Counts violated promises in the observations of one simulation. */
 PromiseReport checkPromises(const Observations& observations, const PromiseLimits& limits = {});
 
 }  // namespace lugfork
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -25,8 +25,8 @@
 }
 
 Duration microseconds(TomlReader& reader, const char* key, Duration fallback) {
-  const auto usual = static_cast<std::uint32_t>(fallback.count());
-  return Duration(reader.integer(key, 1, 1000000, usual));
+  const auto fallback_us = static_cast<std::uint32_t>(fallback.count());
+  return Duration(reader.integer(key, 1, 1000000, fallback_us));
 }
 
 LinkSettings readLinks(TomlReader reader) {
--- a/src/sim/simulated_backend.h
+++ b/src/sim/simulated_backend.h
@@ -8,23 +8,23 @@
 
 namespace lugfork {
 
-/** BackendModel in a simulated process. A killed one loses its memory. */
+/** BackendModel in a simulated process. A kill discards all its state. */
 class SimulatedBackend : private DatagramSender {
  public:
   SimulatedBackend(const Backend& declared, EventQueue& queue, SimulatedProcess& process,
                    SimulatedNetwork& network, Observations& observations);
 
-  /** Starts the process with a fresh model. @param cold_start time in which work takes longer. */
+  /** Starts the process with a new model. @param cold_start time during which work is slower. */
   void start(Duration cold_start);
   void kill();
 
-  /** Tells the back end to drain, or to take work again; also holds for its next life. */
+  /** Sets whether the backend drains; also applies to later incarnations. */
   void setDraining(bool draining);
 
-  /** Sets the time in which a placement may start work, from the next start on. */
+  /** Sets the time in which a placement may start work; takes effect at the next start. */
   void setPlacementLifetime(Duration lifetime) { placement_lifetime_ = lifetime; }
 
-  /** @return the model of this life; nullptr while the process is dead. */
+  /** @return the running model; nullptr while the process is killed. */
   BackendModel* model() { return model_.get(); }
   SimulatedProcess& process() { return process_; }
   const Backend& declared() const { return declared_; }
--- a/src/sim/simulated_network.h
+++ b/src/sim/simulated_network.h
@@ -14,11 +14,11 @@
 
 namespace lugfork {
 
-/** Delays and faults of all links. */
+/** Delays and error rates of all links. */
 struct LinkSettings {
   Duration within_zone = Duration(100);
   Duration between_zones = Duration(500);
-  /** Between callers, which have no zone, and everything else. */
+  /** Between clients, which have no zone, and all other processes. */
   Duration to_clients = milliseconds(1);
   /** Each delay is drawn from [delay, delay * (1 + jitter)]; large values reorder. */
   double jitter = 0.2;
@@ -28,10 +28,10 @@
   double duplication = 0;
 };
 
-/** Zone name of callers. */
+/** Zone name of clients. */
 inline constexpr const char* kClientZone = "callers";
 
-/** Counts of what the network carried. */
+/** Counters of the network. */
 struct NetworkCounters {
   std::uint64_t datagrams_sent = 0;
   std::uint64_t datagrams_lost = 0;
@@ -62,10 +62,10 @@
                               const PeerMessage& message);
 
   /**
-   * One request and its answer, over a connection that neither loses nor repeats.
-   * @param serve runs in the server's process and gives the answer.
-   * @param on_reply runs in the client's process with the answer.
-   * @param on_failure runs in the client's process after the timeout if no answer came.
+   * Sends one request over a connection without loss or duplication.
+   * @param serve runs in the server's process and returns the reply.
+   * @param on_reply runs in the client's process with the reply.
+   * @param on_failure runs in the client's process if no reply arrives within the timeout.
    */
   template <typename Reply>
   void request(SimulatedProcess& client, SimulatedProcess& server, Duration timeout,
@@ -82,7 +82,7 @@
     transfer(client, server, [=, this, &client, &server] {
       const Reply reply = serve();
       transfer(server, client, [=, &client] {
-        // The connection ends with the client's process: a later life never gets the reply.
+        // The connection ends with the client's process; a later incarnation never gets the reply.
         if (!*answered && client.generation() == generation) {
           *answered = true;
           on_reply(reply);
@@ -91,14 +91,14 @@
     });
   }
 
-  /** Cuts the way from one zone or process to another, by name; one-way. */
+  /** Cuts the link from one zone or process to another, by name, in this direction only. */
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   void heal(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
   void healAll() { cuts_.clear(); }
 
   const NetworkCounters& counters() const { return counters_; }
 
-  /** @return the hash over every datagram and peer message sent so far. */
+  /** @return the hash of all datagrams and peer messages sent so far. */
   std::uint64_t traceDigest() const { return trace_.digest(); }
 
  private:
@@ -114,7 +114,7 @@
   bool isCut(const SimulatedProcess& from, const SimulatedProcess& to) const;
   Duration delay(const SimulatedProcess& from, const SimulatedProcess& to);
 
-  /** Runs the event in the other process after the delay, unless the way is cut. */
+  /** Runs the event in the other process after the link's delay, unless the link is cut. */
   void transfer(const SimulatedProcess& from, SimulatedProcess& to, EventQueue::Event event);
 
   EventQueue& queue_;
--- a/src/sim/simulated_node.h
+++ b/src/sim/simulated_node.h
@@ -9,12 +9,12 @@
 
 namespace lugfork {
 
-/** What surrounds the simulated nodes: the platform and the back ends' load endpoints. */
+/** Environment of the simulated nodes: the platform and the backends' load endpoints. */
 class NodeEnvironment {
  public:
   virtual ~NodeEnvironment() = default;
 
-  /** Reads the platform's configuration for a node; calls back in the node's process. */
+  /** Reads the platform's configuration; the callback runs in the reader's process. */
   virtual void readConfiguration(SimulatedProcess& reader,
                                  std::function<void(const std::string&)> callback) = 0;
   virtual void readMachines(SimulatedProcess& reader,
@@ -23,30 +23,30 @@
                      std::function<void(const BackendReport&)> callback) = 0;
 };
 
-/** The daemon's own Node in a simulated process. */
+/** The Node of the daemon in a simulated process. */
 class SimulatedNode : private NodeOutputs {
  public:
   SimulatedNode(NodeSettings settings, Endpoint data_address, SimulatedProcess& process,
                 SimulatedNetwork& network, NodeEnvironment& environment, EventLog& log,
                 std::uint64_t seed, RouterKind router = RouterKind::Token);
 
-  /** Starts the process with a fresh Node; nothing of an earlier life remains. */
+  /** Starts the process with a new Node, without state of an earlier incarnation. */
   void start();
   void kill();
 
-  /** Keeps back all that the node sends, as if it stood still between its checks and its sends. */
+  /** Holds all output, as if the node were paused between its checks and its sends. */
   void holdOutput() { holds_output_ = true; }
 
-  /** Sends what was kept back. */
+  /** Sends the held output and ends holding. */
   void releaseOutput();
 
-  /** @return the node of this life; nullptr while the process is dead. */
+  /** @return the running node; nullptr while the process is killed. */
   Node* node() { return node_.get(); }
   SimulatedProcess& process() { return process_; }
   Endpoint dataAddress() const { return data_address_; }
   const NodeSettings& settings() const { return settings_; }
 
-  /** @return bytes of peer messages sent, all lives together. */
+  /** @return the size of all peer messages sent, over all incarnations [bytes]. */
   std::uint64_t peerBytesSent() const { return peer_bytes_sent_; }
 
  private:
@@ -58,7 +58,7 @@
   void scheduleTick();
   void onDatagram(std::span<const std::uint8_t> bytes, Endpoint from);
 
-  /** Sends now, or at the release. */
+  /** Sends now, or on release while output is held. */
   void sendOrHold(std::function<void()> send);
 
   const NodeSettings settings_;
--- a/src/sim/simulated_process.h
+++ b/src/sim/simulated_process.h
@@ -6,7 +6,7 @@
 
 namespace lugfork {
 
-/** TimeSource of one simulated process: the virtual clock, with the machine's wall-clock skew. */
+/** TimeSource of one simulated process: the virtual clock plus the machine's clock skew. */
 class ProcessTimeSource : public TimeSource {
  public:
   ProcessTimeSource(const EventQueue& queue, Duration skew) : queue_(queue), skew_(skew) {}
@@ -17,7 +17,7 @@
   }
 
  private:
-  /** Wall-clock time at virtual time zero; any fixed date will do. */
+  /** Wall-clock time at virtual time zero; an arbitrary fixed date. */
   static constexpr Duration kEpoch = std::chrono::hours(24 * 365 * 50);
 
   const EventQueue& queue_;
@@ -25,8 +25,8 @@
 };
 
 /**
- * A process that can be killed, started again, paused and resumed. What arrives for a killed
- * process is lost; what arrives for a paused one waits, as in a socket's buffer.
+ * A process that can be killed, restarted, paused and resumed. Events for a killed process are
+ * lost; events for a paused one are queued, as in a socket's buffer.
  */
 class SimulatedProcess {
  public:
@@ -42,7 +42,7 @@
   bool isRunning() const { return running_; }
   bool isPaused() const { return paused_; }
 
-  /** Number of this life of the process; rises with each start. */
+  /** @return the number of this incarnation; increases with each start. */
   std::uint64_t generation() const { return generation_; }
 
   void start();
@@ -50,14 +50,14 @@
   void pause() { paused_ = true; }
   void resume();
 
-  /** Runs the event in this process: now, or at the resume; never if the process is dead. */
+  /** Runs the event now, or on resume if paused; discards it if the process isn't running. */
   void run(EventQueue::Event event);
 
-  /** Like run, at a later time and only in this life of the process. */
+  /** Like run, after a delay and only in this incarnation of the process. */
   void runAfter(Duration delay, EventQueue::Event event);
 
  private:
-  /** Events that a paused process keeps, as a socket's buffer would. */
+  /** Events queued for a paused process; further ones are dropped, as by a socket's buffer. */
   static constexpr std::size_t kMaxQueuedEvents = 10000;
 
   EventQueue& queue_;
--- a/src/sim/toml_reader.h
+++ b/src/sim/toml_reader.h
@@ -9,10 +9,10 @@
 
 #include "common/time_source.h"
 
-/** Typed reads of TOML tables with errors that name the file, the key and what is allowed. */
+/** Typed access to TOML tables, with errors that name the file, the key and the valid values. */
 namespace lugfork {
 
-/** Thrown inside the readers only; they turn it into a typed error. */
+/** Thrown within the file readers only, which convert it to a typed error. */
 class TomlReadError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -21,7 +21,7 @@
 /** Parses a file. @throws TomlReadError naming the file and the line. */
 toml::table parseTomlFile(const std::string& path);
 
-/** One table of a file; remembers which keys were read, so that unknown ones are refused. */
+/** One table of a file; tracks the keys that were read, so that unknown ones are rejected. */
 class TomlReader {
  public:
   TomlReader(const toml::table& table, std::string file, std::string table_path)
@@ -35,16 +35,16 @@
   Duration milliseconds(const char* key, std::uint32_t max, Duration fallback);
   bool boolean(const char* key, bool fallback);
 
-  /** @return the place of a name in a list of allowed names. */
+  /** @return the index of the value in the list of allowed names. */
   std::size_t choice(const char* key, const std::vector<std::string>& allowed);
 
-  /** @return the readers of an array of tables; empty where the key is missing. */
+  /** @return readers for an array of tables; empty if the key is missing. */
   std::vector<TomlReader> tables(const char* key);
 
-  /** @return the reader of a table; of an empty one where the key is missing. */
+  /** @return a reader for a table, or for an empty table if the key is missing. */
   TomlReader table(const char* key);
 
-  /** Refuses keys that were not read. */
+  /** Throws TomlReadError if the table has keys that were not read. */
   void rejectUnknownKeys() const;
 
   [[noreturn]] void fail(const std::string& key, const std::string& problem) const;
--- a/src/sim/trace_hash.h
+++ b/src/sim/trace_hash.h
@@ -10,7 +10,7 @@
 
 namespace lugfork {
 
-/** Running hash over all that a simulation sent and did; equal hashes stand for equal traces. */
+/** Incremental hash over the messages of a simulation; equal hashes mean equal traces. */
 class TraceHash {
  public:
   TraceHash() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
--- a/src/sim/work_order.h
+++ b/src/sim/work_order.h
@@ -5,16 +5,16 @@
 #include "wire/codec_error.h"
 #include "wire/datagram.h"
 
-/** What the stand-in callers ask of the stand-in back ends; travels as the request's payload. */
+/** Work that test clients request from backend models; the payload of a request. */
 namespace lugfork {
 
-/** Kinds of work of the two users. */
+/** Kinds of work. */
 enum class WorkKind : std::uint8_t {
-  /** Long answer at a fixed pace; may be repeated, resumes where it stopped. */
+  /** Long answer at a fixed rate; may be repeated and resumes where it stopped. */
   Stream = 0,
-  /** Short request that takes a slot for a while; may be repeated. */
+  /** Short request that occupies a slot for some time; may be repeated. */
   PreCheck = 1,
-  /** Long request; may run at most once. */
+  /** Long request; must run at most once. */
   Upload = 2,
   Last = Upload,
 };
@@ -22,15 +22,15 @@
 /** First piece of every request. */
 struct WorkOrder {
   WorkKind kind = WorkKind::PreCheck;
-  /** Pieces of request payload that follow the order itself. */
+  /** Pieces of request payload after the order itself. */
   std::uint32_t request_pieces = 0;
-  /** Answer pieces in all. */
+  /** Total number of answer pieces. */
   std::uint32_t answer_pieces = 1;
-  /** First answer piece wanted; later than 0 when a stream is resumed. */
+  /** First requested answer piece; greater than 0 when a stream is resumed. */
   std::uint32_t first_answer_piece = 0;
-  /** Time between two answer pieces, in milliseconds. */
+  /** Time between two answer pieces [ms]. */
   std::uint32_t answer_interval_ms = 0;
-  /** Time for which the work holds a slot, in milliseconds. */
+  /** Time for which the work occupies a slot [ms]. */
   std::uint32_t work_ms = 0;
 
   auto fields() {
@@ -44,8 +44,8 @@
 Result<WorkOrder, CodecError> decodeWorkOrder(const Bytes& bytes);
 
 /**
- * Payload of one answer piece. Follows from the service, the flow and the position alone, so that a
- * caller can tell whether a piece is its own.
+ * @return the payload of one answer piece. It depends only on the service, the flow and the
+ * position, so that a client can detect pieces of other flows.
  */
 Bytes answerPayload(ServiceId service, const FlowId& flow, std::uint32_t sequence);
 
--- a/tests/sim/backend_model_test.cc
+++ b/tests/sim/backend_model_test.cc
@@ -18,7 +18,7 @@
   std::vector<Datagram> sent;
 };
 
-/** One back end on a virtual clock, and an upload that was placed on it. */
+/** One backend on a virtual clock, and an upload placed on it. */
 class BackendFixture {
  public:
   BackendFixture() : time_(queue_, Duration::zero()) {
@@ -81,7 +81,7 @@
   std::unique_ptr<BackendModel> model_;
 };
 
-TEST_CASE("a copy that comes after the memory of the attempt is gone is not called not run") {
+TEST_CASE("duplicate of an attempt after ended_flow_ttl is refused without not_run") {
   BackendFixture fixture;
   fixture.sendUpload(ForwardMode::MayStart);
   fixture.runFor(seconds(1));
@@ -94,7 +94,7 @@
   CHECK_FALSE(fixture.refusals().front().not_run);
 }
 
-TEST_CASE("an attempt that first comes after the placement lifetime is refused as not run") {
+TEST_CASE("attempt that first arrives after the placement lifetime is refused as not run") {
   BackendFixture fixture;
   fixture.runFor(seconds(10));
   fixture.sendUpload(ForwardMode::ContinueOnly);
--- a/tests/sim/platform_item_source_test.cc
+++ b/tests/sim/platform_item_source_test.cc
@@ -8,7 +8,7 @@
 namespace lugfork {
 namespace {
 
-/** A ViewFollower over the product's own stand-in, as over any platform. */
+/** A ViewFollower with PlatformItemSource as its source. */
 struct StandinHarness : ViewFollowerHost {
   StandinHarness() {
     follower.start();
@@ -37,7 +37,8 @@
 
 using Items = std::map<std::string, std::string>;
 
-TEST_CASE("the product's own stand-in is followed as any platform", "[platform_item_source]") {
+TEST_CASE("view follower receives the items of the platform model and their changes",
+          "[platform_item_source]") {
   StandinHarness harness;
   CHECK(harness.follower.isComplete());
   CHECK(harness.items == Items{{"configuration", "document 1"}, {"machines", "machines 1"}});
@@ -46,7 +47,8 @@
   CHECK(harness.items["machines"] == "machines 2");
 }
 
-TEST_CASE("an outage of the stand-in changes nothing that is known", "[platform_item_source]") {
+TEST_CASE("items are kept during an outage of the platform model and updated after it",
+          "[platform_item_source]") {
   StandinHarness harness;
   harness.platform.setOutage(true);
   harness.scheduler.advance(seconds(5));
--- a/tests/sim/promise_checker_test.cc
+++ b/tests/sim/promise_checker_test.cc
@@ -16,7 +16,7 @@
   return MonotonicTime(seconds(1000 + second));
 }
 
-/** One upload that ran once and ended whole: breaks no promise. */
+/** One upload that ran once and completed: violates no promise. */
 Observations goodTrace() {
   Observations trace;
   CallRecord call;
@@ -36,7 +36,7 @@
   return trace;
 }
 
-/** A change to the good trace that breaks one promise, and the count that has to show it. */
+/** A change to the good trace that violates one promise, and the count that must detect it. */
 struct BrokenTrace {
   const char* name;
   void (*change)(Observations&);
@@ -49,32 +49,32 @@
 }
 
 const BrokenTrace kBrokenTraces[] = {
-    {"a break that no death explains",
+    {"a break without a backend outage",
      [](Observations& trace) {
        trace.calls.front().breaks.push_back({kKey, at(2)});
      },
      &PromiseReport::broken_planned},
     {"a call that never ends", [](Observations& trace) { trace.calls.front().result.reset(); },
      &PromiseReport::broken_planned},
-    {"a break after another back end's death",
+    {"a break after an outage of another backend",
      [](Observations& trace) {
        trace.calls.front().breaks.push_back({kKey, at(2)});
        trace.unplanned_outages.emplace(BackendId(8), Interval{at(0), at(3)});
      },
      &PromiseReport::broken_planned},
-    {"a break while a machine is stopped as planned",
+    {"a break during a planned stop of a machine",
      [](Observations& trace) {
        trace.calls.front().breaks.push_back({kKey, at(2)});
        trace.planned_stops.push_back({at(1), at(2)});
      },
      &PromiseReport::cut_by_planned_stop},
-    {"work at another service's back end",
+    {"work at a backend of another service",
      [](Observations& trace) { trace.runs.front().service = ServiceId(2); },
      &PromiseReport::misdelivered},
     {"a piece of another call's answer",
      [](Observations& trace) { trace.calls.front().wrong_pieces = 1; },
      &PromiseReport::crossed_answers},
-    {"a whole answer with a piece missing",
+    {"a complete answer with a missing piece",
      [](Observations& trace) { trace.calls.front().pieces = 0; }, &PromiseReport::crossed_answers},
     {"an upload that runs under a second attempt",
      [](Observations& trace) {
@@ -87,13 +87,13 @@
        trace.refusals.push_back({kKey, Reason::Overloaded, false, 500, at(2)});
      },
      &PromiseReport::false_not_run},
-    {"a call that ends as not run but ran",
+    {"a call that ends as not run although it ran",
      [](Observations& trace) {
        endAs(trace, CallResult::NotRun);
        trace.calls.front().retry_after = seconds(1);
      },
      &PromiseReport::false_not_run},
-    {"work admitted long after the drain",
+    {"work admitted long after the start of the drain",
      [](Observations& trace) {
        trace.drains.emplace(kBackend, Interval{at(10), at(60)});
        trace.runs.front().admitted_at = at(16);
@@ -111,7 +111,7 @@
        trace.runs.front().admitted_at = at(16);
      },
      &PromiseReport::zone_violations},
-    {"a refusal without a time to come back",
+    {"a refusal without a retry-after time",
      [](Observations& trace) {
        trace.refusals.push_back({{kFlow, 1}, Reason::Overloaded, false, 0, at(2)});
      },
@@ -120,13 +120,13 @@
 
 }  // namespace
 
-TEST_CASE("a trace that keeps every promise holds") {
+TEST_CASE("trace without a violated promise holds") {
   const PromiseReport report = checkPromises(goodTrace());
   CHECK(report.holds());
   CHECK(report.flows == 1);
 }
 
-TEST_CASE("each broken promise is counted and fails the run") {
+TEST_CASE("each violated promise is counted and fails the report") {
   for (const BrokenTrace& broken : kBrokenTraces) {
     INFO(broken.name);
     Observations trace = goodTrace();
@@ -137,7 +137,7 @@
   }
 }
 
-TEST_CASE("a break is unplanned only where the flow's own back end was out") {
+TEST_CASE("break counts as unplanned if the flow's own backend had an outage") {
   Observations trace = goodTrace();
   trace.calls.front().breaks.push_back({kKey, at(2)});
   trace.unplanned_outages.emplace(kBackend, Interval{at(1), at(2)});
@@ -146,18 +146,18 @@
   CHECK(report.holds());
 }
 
-TEST_CASE("spread counts from the publication, or from the end of what kept news away") {
+TEST_CASE("propagation delay counts from the publication or from the end of isolation") {
   Observations trace = goodTrace();
   trace.publications.push_back({2, at(10)});
-  SECTION("a node that never gets the version breaks the promise") {
+  SECTION("node that never applies the version violates the promise") {
     CHECK_FALSE(checkPromises(trace).holds());
   }
-  SECTION("too late") {
+  SECTION("version that is applied too late violates the promise") {
     trace.versions.push_back({"node", 2, at(17)});
     CHECK(checkPromises(trace).config_spread_ms_max == 7000);
     CHECK_FALSE(checkPromises(trace).holds());
   }
-  SECTION("late because of a cut") {
+  SECTION("delay during a cut is not counted") {
     trace.versions.push_back({"node", 2, at(17)});
     trace.isolation.push_back({at(8), at(15)});
     CHECK(checkPromises(trace).config_spread_ms_max == 2000);
@@ -165,7 +165,7 @@
   }
 }
 
-TEST_CASE("imbalance is the busiest over the mean") {
+TEST_CASE("imbalance is the ratio of the maximum load to the mean load") {
   Observations trace = goodTrace();
   trace.loads.push_back({kService, {4, 1, 1}});
   CHECK(checkPromises(trace).imbalance_p50 == Approx(2));
--- a/tests/sim/promise_tables_test.cc
+++ b/tests/sim/promise_tables_test.cc
@@ -1,6 +1,6 @@
 /**
- * One fault table for each promise of the brief. Each is shown to fail without the mechanism that
- * keeps the promise: under a baseline router, or with the mechanism's setting made ineffective.
+ * One fault table for each promise. Tests also check that a promise is violated without the
+ * mechanism that keeps it: with a baseline router, or with the mechanism's setting disabled.
  */
 
 #include "sim/sim_test_support.h"
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::uint64_t kSeeds = 2;
-/** A second run of an upload is rare even without the rules for tokens. */
+/** Repeated runs of an upload are rare even without the rules for tokens. */
 constexpr std::uint64_t kBaselineDoubleRunSeeds = 12;
 
-/** A fault table under the token router and under one that lacks the mechanism. */
+/** A fault table, run with the token router and with a router that lacks the mechanism. */
 struct PromiseTable {
   const char* table;
   std::uint64_t PromiseReport::*count;
@@ -27,8 +27,7 @@
     {"planned_stops", &PromiseReport::cut_by_planned_stop, RouterKind::Rendezvous},
 };
 
-/** Uploads of a single piece: nothing but the rules for tokens keeps a resend from running twice.
- */
+/** Uploads of a single piece: only the rules for tokens keep retransmissions from running twice. */
 Scenario withSinglePieceUploads(Scenario scenario) {
   for (CallMix& mix : scenario.calls) {
     mix.order.request_pieces = mix.order.kind == WorkKind::Upload ? 0 : mix.order.request_pieces;
@@ -37,7 +36,7 @@
   return scenario;
 }
 
-/** Uploads that open just before draining.toml pauses the callers, 9 s after the start. */
+/** Uploads that open just before draining.toml pauses the clients, 9 s after the start. */
 Scenario withBurstBeforePause(Scenario scenario) {
   for (CallMix& mix : scenario.calls) {
     mix.burst_interval = seconds(6);
@@ -48,7 +47,7 @@
 
 }  // namespace
 
-TEST_CASE("established flows survive planned changes, and planned stops cut none") {
+TEST_CASE("established flows survive planned changes and planned stops") {
   const Scenario scenario = test::loadScenario("radio");
   for (const PromiseTable& table : kTablesWithBaseline) {
     INFO(table.table << " against "
@@ -61,7 +60,7 @@
   }
 }
 
-TEST_CASE("what may not be repeated runs at most once, and not run is true") {
+TEST_CASE("non-repeatable work runs at most once and work refused as not run has not run") {
   const Scenario scenario = withSinglePieceUploads(test::loadScenario("radio"));
   const auto without = test::withRouter(RouterKind::Rendezvous);
   CHECK(test::runTable(scenario, "at_most_once", without, kBaselineDoubleRunSeeds).double_runs > 0);
@@ -71,7 +70,7 @@
   CHECK(report.holds());
 }
 
-TEST_CASE("a draining back end gets no new work, even from callers that wake late") {
+TEST_CASE("draining backend gets no new work from clients that resume late") {
   const Scenario scenario = withBurstBeforePause(test::loadScenario("radio"));
   FleetOptions without;
   without.placement_lifetime = seconds(3600);
@@ -81,7 +80,7 @@
   CHECK(report.holds());
 }
 
-TEST_CASE("answers are whole and their own, and nothing reaches another service") {
+TEST_CASE("answers are complete, not mixed up, and no work reaches another service") {
   const Scenario radio = test::loadScenario("radio");
   const PromiseReport report = test::runTable(radio, "crossed_answers", {}, kSeeds);
   CHECK(report.crossed_answers == 0);
@@ -89,16 +88,17 @@
   CHECK(report.holds());
 }
 
-TEST_CASE("a configuration is in force everywhere within seconds and never reverts") {
+TEST_CASE("configuration is in force on all nodes within 5 s and never reverts") {
   const Scenario scenario = test::loadScenario("radio");
-  // Seed 2 and seven others of the first 40 went back before a started node heard its peers first.
+  // Seed 2 and seven others of the first 40 revert to an older version if a restarted node doesn't
+  // wait for the version of its peers first.
   const PromiseReport report = test::runTable(scenario, "configuration", {}, 4 * kSeeds);
   CHECK(report.config_reverts == 0);
   CHECK(report.config_spread_ms_max <= 5000);
   CHECK(report.holds());
 }
 
-TEST_CASE("a withdrawn zone gets no work") {
+TEST_CASE("withdrawn zone gets no work") {
   const Scenario scenario = test::loadScenario("radio");
   const PromiseReport report = test::runTable(scenario, "zones", {}, kSeeds);
   CHECK(report.zone_violations == 0);
--- a/tests/sim/scenario_test.cc
+++ b/tests/sim/scenario_test.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Writes a file beside the test program and gives its name. */
+/** Writes a file in the working directory and returns its name. */
 std::string writeFile(const std::string& text) {
-  // Cases run in processes of their own at the same time.
+  // Test cases run concurrently in separate processes.
   std::string path = "scenario_test_input_" + std::to_string(getpid()) + ".toml";
   std::ofstream(path) << text;
   return path;
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a bad fault table is refused with the file, the key and what is allowed") {
+TEST_CASE("invalid fault table is rejected with the file, the key and the valid values") {
   const Scenario scenario = test::loadScenario("radio");
   const BadFile cases[] = {
       {"[[faults]]\nkind = \"explode\"\n", "faults[0].kind", "must be one of kill, pause"},
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("a bad scenario is refused with the file and the key") {
+TEST_CASE("invalid scenario is rejected with the file and the key") {
   const auto missing = readScenario(writeFile("name = \"x\"\nconfiguration = \"absent.json\"\n"));
   REQUIRE_FALSE(missing);
   CHECK_THAT(missing.error().message, Catch::Contains("configuration names a file"));
--- a/tests/sim/sim_test_support.h
+++ b/tests/sim/sim_test_support.h
@@ -10,7 +10,7 @@
   return std::string(LUGFORK_SOURCE_DIR) + "/" + path;
 }
 
-/** @return a user's scenario. */
+/** @return the scenario with that name. */
 inline Scenario loadScenario(const std::string& user) {
   const auto scenario = readScenario(sourcePath("scenarios/" + user + ".toml"));
   if (!scenario) {
@@ -27,7 +27,7 @@
   return faults.value();
 }
 
-/** Runs a fault table with several seeds. @return all counts together. */
+/** Runs a fault table with seeds 1 to seeds. @return the sum of all reports. */
 inline PromiseReport runTable(const Scenario& scenario, const std::string& table,
                               FleetOptions options, std::uint64_t seeds) {
   const std::vector<Fault> faults = loadFaults(table, scenario);
--- a/tests/sim/simulation_test.cc
+++ b/tests/sim/simulation_test.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** A storm that once broke a promise. */
+/** A storm that violated a promise before its cause was fixed. */
 struct RegressionSeed {
   const char* user;
   std::uint64_t seed;
@@ -13,13 +13,13 @@
 
 const RegressionSeed kRegressionSeeds[] = {
     {"radio", 2, "a keepalive overtook the first piece while links lost datagrams"},
-    {"radio", 4, "a back end got placements within the clock skew of its start"},
-    {"radio", 16, "a back end was put into service again before it was ready"},
+    {"radio", 4, "a backend got placements within the clock skew of its start"},
+    {"radio", 16, "a backend was put back into service before it was ready"},
     {"radio", 29, "a keepalive overtook the first piece, held at a balancer"},
     {"veroapu", 23, "a keepalive overtook the first piece, held at a balancer"},
-    {"veroapu", 35, "a back end was put into service again before it was ready"},
-    {"veroapu", 76, "a caller heard nothing for 3 s, having sent only five datagrams"},
-    {"veroapu", 97, "a back end cut off from other zones got one datagram in three"},
+    {"veroapu", 35, "a backend was put back into service before it was ready"},
+    {"veroapu", 76, "a client received nothing for 3 s after sending only five datagrams"},
+    {"veroapu", 97, "a backend cut off from other zones received one datagram in three"},
     {"veroapu", 100, "keepalives were held at three balancers"},
 };
 
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("the same seed gives the same trace, byte for byte") {
+TEST_CASE("same seed gives an identical trace") {
   const SimulationResult first = runStorm("radio", 5);
   const SimulationResult second = runStorm("radio", 5);
   CHECK(first.trace_digest == second.trace_digest);
@@ -40,14 +40,14 @@
   CHECK(first.trace_digest != runStorm("radio", 6).trace_digest);
 }
 
-TEST_CASE("storms that once broke a promise keep it") {
+TEST_CASE("storms that violated a promise in the past no longer do") {
   for (const RegressionSeed& regression : kRegressionSeeds) {
     INFO(regression.user << " " << regression.seed << ": " << regression.cause);
     CHECK(runStorm(regression.user, regression.seed).report.holds());
   }
 }
 
-TEST_CASE("a fixed set of storms keeps every promise") {
+TEST_CASE("no storm of a fixed set violates a promise") {
   for (const char* user : {"radio", "veroapu"}) {
     for (std::uint64_t seed = 201; seed <= 208; ++seed) {
       INFO(user << " " << seed);
