--- a/src/sim/baseline_router.cc
+++ b/src/sim/baseline_router.cc
@@ -24,7 +24,7 @@
 
 using Backends = std::vector<const Backend*>;
 
-/** What both baselines share: parsing, the local view, and the back ends' refusals. */
+/** Common part of both baselines: parsing, the local view, and refusals of backends. */
 class HashingRouter : public BaselineRouter {
  public:
   HashingRouter(const Node& node, const TimeSource& time_source, DatagramSender& sender)
@@ -36,44 +36,44 @@
       return;
     }
     if (const auto* sprayed = std::get_if<Sprayed>(&decoded.value())) {
-      onCallerDatagram(sprayed->datagram, sprayed->client);
+      onClientDatagram(sprayed->datagram, sprayed->client);
     } else if (const auto* refusal = std::get_if<BackendRefusal>(&decoded.value())) {
       onBackendRefusal(*refusal);
     }
   }
 
  protected:
-  /** @return the back end for a flow, out of the candidates of this balancer's view. */
+  /** @return the backend for a flow, chosen among the candidates in this balancer's view. */
   virtual const Backend* choose(const Service& service, const FlowKey& key,
                                 const Backends& candidates) = 0;
 
  private:
-  void onCallerDatagram(const Bytes& bytes, Endpoint caller) {
+  void onClientDatagram(const Bytes& bytes, Endpoint client) {
     const auto decoded = decodeDatagram(bytes);
     if (!decoded) {
       return;
     }
     const Datagram& datagram = decoded.value();
     if (const auto* open = std::get_if<Open>(&datagram)) {
-      onOpen(*open, caller);
+      onOpen(*open, client);
     } else if (const auto* data = std::get_if<Data>(&datagram)) {
-      forward(data->service, data->key, bytes, caller);
+      forward(data->service, data->key, bytes, client);
     } else if (const auto* ack = std::get_if<AnswerAck>(&datagram)) {
-      forward(ack->service, ack->key, bytes, caller);
+      forward(ack->service, ack->key, bytes, client);
     } else if (const auto* cancel = std::get_if<Cancel>(&datagram)) {
-      forward(cancel->service, cancel->key, bytes, caller);
+      forward(cancel->service, cancel->key, bytes, client);
     }
   }
 
-  void onOpen(const Open& open, Endpoint caller) {
+  void onOpen(const Open& open, Endpoint client) {
     const ConfigurationView& view = *node_.configuration().inForce();
     const Backend* backend = chooseFor(open.service, open.key);
     if (backend == nullptr) {
       sender_.sendDatagram(
-          caller, Refused{open.key, Reason::NoBackendInAllowedZones, kRetryAfterMilliseconds, {}});
+          client, Refused{open.key, Reason::NoBackendInAllowedZones, kRetryAfterMilliseconds, {}});
       return;
     }
-    // Callers and back ends want a token for its time of placement; nobody routes by this one.
+    // Clients and backends need a token for its time of placement; it isn't used for routing.
     Placement placement;
     placement.key = open.key;
     placement.service = backend->service;
@@ -82,13 +82,13 @@
     placement.backend_address = backend->address;
     placement.config_version = view.version();
     placement.placed_at = time_source_.systemTime();
-    sender_.sendDatagram(caller, Placed{open.key, sealToken(placement, *view.sealingKey())});
+    sender_.sendDatagram(client, Placed{open.key, sealToken(placement, *view.sealingKey())});
   }
 
-  void forward(Endpoint service, const FlowKey& key, const Bytes& bytes, Endpoint caller) {
+  void forward(Endpoint service, const FlowKey& key, const Bytes& bytes, Endpoint client) {
     const Backend* backend = chooseFor(service, key);
     if (backend != nullptr) {
-      sender_.sendDatagram(backend->address, Forward{caller, backend->id, backend->service,
+      sender_.sendDatagram(backend->address, Forward{client, backend->id, backend->service,
                                                      ForwardMode::MayStart, bytes});
     }
   }
@@ -124,7 +124,7 @@
   DatagramSender& sender_;
 };
 
-/** Maglev's lookup table (Eisenbud et al., NSDI 2016) for one set of back ends. */
+/** Maglev lookup table (Eisenbud et al., NSDI 2016) for one set of backends. */
 class MaglevTable {
  public:
   explicit MaglevTable(const Backends& backends) : entries_(kSize, kEmpty) {
@@ -146,7 +146,7 @@
   static constexpr std::size_t kSize = 2039;
   static constexpr std::uint32_t kEmpty = 0;
 
-  /** @return the next slot of the back end's permutation that is still empty. */
+  /** @return the next empty slot in the backend's permutation. */
   std::size_t freeSlot(const Backend& backend, std::uint64_t& next) const {
     const std::uint64_t offset = hashOf(backend.id.value(), 0, 1) % kSize;
     const std::uint64_t skip = hashOf(backend.id.value(), 0, 2) % (kSize - 1) + 1;
@@ -169,10 +169,10 @@
  private:
   const Backend* choose(const Service& service, const FlowKey& key,
                         const Backends& candidates) override {
-    const auto known = flows_.find(key);
-    if (known != flows_.end()) {
+    const auto entry = flows_.find(key);
+    if (entry != flows_.end()) {
       for (const Backend* backend : candidates) {
-        if (backend->id == known->second) {
+        if (backend->id == entry->second) {
           return backend;
         }
       }
--- a/src/sim/fault_table.cc
+++ b/src/sim/fault_table.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::uint32_t kLongestMilliseconds = 600000;
+constexpr std::uint32_t kMaxMilliseconds = 600000;
 
-/** Names that a fault's target may take. */
+/** Valid names for the target of a fault. */
 std::vector<std::string> targetsOf(FaultKind kind, const Scenario& scenario) {
   const auto parsed = parseConfigurationDocument(scenario.configuration);
   const Configuration& configuration = parsed.value();
@@ -86,7 +86,7 @@
 Fault readFault(TomlReader& reader, const Scenario& scenario) {
   Fault fault;
   fault.kind = static_cast<FaultKind>(reader.choice("kind", faultKindNames()));
-  fault.at = reader.milliseconds("at_ms", kLongestMilliseconds, {});
+  fault.at = reader.milliseconds("at_ms", kMaxMilliseconds, {});
   const std::vector<std::string> targets = targetsOf(fault.kind, scenario);
   if (!targets.empty()) {
     fault.target = targets[reader.choice("target", targets)];
@@ -95,11 +95,11 @@
   if (!peers.empty()) {
     fault.peer = peers[reader.choice("peer", peers)];
   }
-  fault.duration = reader.milliseconds("for_ms", kLongestMilliseconds, {});
-  fault.one_way = reader.flag("one_way", false);
+  fault.duration = reader.milliseconds("for_ms", kMaxMilliseconds, {});
+  fault.one_way = reader.boolean("one_way", false);
   fault.factor = reader.number("factor", 0, 100, 1);
   fault.lag = reader.milliseconds("lag_ms", 60000, {});
-  reader.finish();
+  reader.rejectUnknownKeys();
   return fault;
 }
 
@@ -153,7 +153,7 @@
     for (TomlReader& entry : reader.tables("faults")) {
       faults.push_back(readFault(entry, scenario));
     }
-    reader.finish();
+    reader.rejectUnknownKeys();
     return faults;
   } catch (const TomlReadError& error) {
     return ScenarioError{error.what()};
@@ -173,7 +173,7 @@
 
 namespace {
 
-/** Draws the single faults of a storm. */
+/** Draws the faults of a storm. */
 class StormGenerator {
  public:
   StormGenerator(const Scenario& scenario, std::uint64_t seed)
@@ -197,7 +197,7 @@
 
  private:
   static constexpr std::uint32_t kRounds = 3;
-  // All kinds but WithdrawZone: that ends the flows in the zone because the operator wants so.
+  // All kinds except WithdrawZone, which ends established flows in the zone on purpose.
   static constexpr std::uint64_t kStormKinds = static_cast<std::uint64_t>(FaultKind::WithdrawZone);
 
   Fault drawOne(FaultKind kind, Duration at) {
@@ -220,9 +220,9 @@
     return names.empty() ? std::string() : names[random_->below(names.size())];
   }
 
-  Duration between(Duration lowest, Duration highest) {
-    const auto width = static_cast<std::uint64_t>((highest - lowest).count());
-    return lowest + Duration(random_->below(width));
+  Duration between(Duration min, Duration max) {
+    const auto width = static_cast<std::uint64_t>((max - min).count());
+    return min + Duration(random_->below(width));
   }
 
   const Scenario& scenario_;
--- a/src/sim/toml_reader.h
+++ b/src/sim/toml_reader.h
@@ -9,10 +9,10 @@
 
 #include "common/time_source.h"
 
-/** Typed reads of TOML tables with errors that name the file, the key and what is allowed. */
+/** Typed access to TOML tables, with errors that name the file, the key and the valid values. */
 namespace lugfork {
 
-/** Thrown inside the readers only; they turn it into a typed error. */
+/** Thrown within the file readers only, which convert it to a typed error. */
 class TomlReadError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -21,31 +21,31 @@
 /** Parses a file. @throws TomlReadError naming the file and the line. */
 toml::table parseTomlFile(const std::string& path);
 
-/** One table of a file; remembers which keys were read, so that unknown ones are refused. */
+/** One table of a file; tracks the keys that were read, so that unknown ones are rejected. */
 class TomlReader {
  public:
-  TomlReader(const toml::table& table, std::string file, std::string place)
-      : table_(table), file_(std::move(file)), place_(std::move(place)) {}
+  TomlReader(const toml::table& table, std::string file, std::string table_path)
+      : table_(table), file_(std::move(file)), table_path_(std::move(table_path)) {}
 
   std::string text(const char* key);
   std::string text(const char* key, const std::string& fallback);
-  double number(const char* key, double lowest, double highest, double fallback);
-  std::uint32_t whole(const char* key, std::uint32_t lowest, std::uint32_t highest,
-                      std::uint32_t fallback);
-  Duration milliseconds(const char* key, std::uint32_t highest, Duration fallback);
-  bool flag(const char* key, bool fallback);
+  double number(const char* key, double min, double max, double fallback);
+  std::uint32_t integer(const char* key, std::uint32_t min, std::uint32_t max,
+                        std::uint32_t fallback);
+  Duration milliseconds(const char* key, std::uint32_t max, Duration fallback);
+  bool boolean(const char* key, bool fallback);
 
-  /** @return the place of a name in a list of allowed names. */
+  /** @return the index of the value in the list of allowed names. */
   std::size_t choice(const char* key, const std::vector<std::string>& allowed);
 
-  /** @return the readers of an array of tables; empty where the key is missing. */
+  /** @return readers for an array of tables; empty if the key is missing. */
   std::vector<TomlReader> tables(const char* key);
 
-  /** @return the reader of a table; of an empty one where the key is missing. */
+  /** @return a reader for a table, or for an empty table if the key is missing. */
   TomlReader table(const char* key);
 
-  /** Refuses keys that were not read. */
-  void finish() const;
+  /** Throws TomlReadError if the table has keys that were not read. */
+  void rejectUnknownKeys() const;
 
   [[noreturn]] void fail(const std::string& key, const std::string& problem) const;
 
@@ -54,8 +54,8 @@
 
   const toml::table& table_;
   std::string file_;
-  std::string place_;
-  std::set<std::string> known_;
+  std::string table_path_;
+  std::set<std::string> read_keys_;
 };
 
 }  // namespace lugfork
--- a/tests/cluster/configuration_faults_test.cc
+++ b/tests/cluster/configuration_faults_test.cc
@@ -5,14 +5,14 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings nineNodes() {
-  HollowFleetSettings settings;
+InProcessFleetSettings nineNodes() {
+  InProcessFleetSettings settings;
   settings.nodes = 9;
   return settings;
 }
 
 TEST_CASE("change in one zone's platform replica is in force on all nodes within 5 s") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 0)));
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(2)); };
@@ -24,7 +24,7 @@
 
 TEST_CASE(
     "platform outage of one hour keeps the configuration and a change made meanwhile is adopted") {
-  HollowFleetSettings settings = nineNodes();
+  InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setPlatformReachable("", false);
   fleet->publish(changedConfiguration(settings, 2, 0));
@@ -38,7 +38,7 @@
 }
 
 TEST_CASE("restarted node adopts its peers' version when the platform is stale") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   const std::string stale = fleet->platformText();
   fleet->publish(changedConfiguration(settings, 2, 0));
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("partitioned zone keeps placing and the highest version wins after the partition heals") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->cutZone("zone-3");
   fleet->setReplica("zone-3", documentOf(changedConfiguration(settings, 3, 1)));
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("conflicting contents of one version converge on all nodes and are reported") {
-  const HollowFleetSettings settings = nineNodes();
+  const InProcessFleetSettings settings = nineNodes();
   auto fleet = settledFleet(settings);
   fleet->setReplica("zone-1", documentOf(changedConfiguration(settings, 2, 0)));
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 1)));
@@ -92,24 +92,24 @@
 }
 
 TEST_CASE("configuration too large for one message is fetched by buckets") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 4;
   settings.backends = 2000;
   settings.services = 300;
-  auto fleet = std::make_unique<HollowFleet>(settings);
+  auto fleet = std::make_unique<InProcessFleet>(settings);
   fleet->setPlatformReachable("zone-1", false);
   fleet->startAll();
   const auto done = [&] { return fleet->allHaveVersion(ConfigVersion(1)); };
   CHECK(fleet->runUntil(done, seconds(60)) < seconds(20));
   for (std::size_t index = 0; index < fleet->size(); ++index) {
-    CHECK(fleet->counters(index).largest_message < kMaxPeerMessageBytes);
+    CHECK(fleet->counters(index).max_message_bytes < kMaxPeerMessageBytes);
   }
   // A change of one backend is sent as a delta.
-  const std::uint64_t before = fleet->counters(1).largest_message;
+  const std::uint64_t before = fleet->counters(1).max_message_bytes;
   fleet->setReplica("zone-2", documentOf(changedConfiguration(settings, 2, 7)));
   fleet->run(seconds(5));
   CHECK(fleet->allHaveVersion(ConfigVersion(2)));
-  CHECK(fleet->counters(1).largest_message == before);
+  CHECK(fleet->counters(1).max_message_bytes == before);
 }
 
 }  // namespace
--- a/tests/cluster/load_gossip_test.cc
+++ b/tests/cluster/load_gossip_test.cc
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("every node has load reports of all 19 backends that are less than 5 s old") {
-  auto fleet = settledFleet(HollowFleetSettings());
+  auto fleet = settledFleet(InProcessFleetSettings());
   fleet->run(seconds(10));
   const std::uint64_t now_ms = toUnixMilliseconds(
       SystemTime(std::chrono::hours(24 * 365 * 50) + fleet->now().time_since_epoch()));
@@ -92,21 +92,21 @@
 }
 
 TEST_CASE("drain detected by one prober reaches all nodes within 5 s") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[4];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[4];
   fleet->setDraining(backend.id);
-  const auto known = [&] { return fleet->allKnowDraining(backend); };
+  const auto known = [&] { return fleet->allExclude(backend); };
   CHECK(fleet->runUntil(known, seconds(30)) < seconds(5));
 }
 
 TEST_CASE(
     "node that joins after the gossip about a drain has ended excludes the draining backend") {
-  HollowFleetSettings settings;
+  InProcessFleetSettings settings;
   settings.nodes = 30;
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[4];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[4];
   fleet->setDraining(backend.id);
   fleet->run(seconds(60));
   fleet->kill(0);
--- a/tests/cluster/membership_faults_test.cc
+++ b/tests/cluster/membership_faults_test.cc
@@ -5,14 +5,14 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings fleetOf(std::size_t nodes) {
-  HollowFleetSettings settings;
+InProcessFleetSettings fleetOf(std::size_t nodes) {
+  InProcessFleetSettings settings;
   settings.nodes = nodes;
   return settings;
 }
 
 TEST_CASE("nodes discover each other from a partial machine list that contains a dead machine") {
-  HollowFleet fleet(fleetOf(6));
+  InProcessFleet fleet(fleetOf(6));
   fleet.machineList().erase(fleet.machineList().begin() + 2, fleet.machineList().end());
   Machine dead = fleet.machineOf(0);
   dead.name = "gone";
@@ -33,7 +33,7 @@
   CHECK(fleet->node(0)->clusterStatus().live_members == 4);
   fleet->machineList().push_back(fleet->machineOf(4));
   fleet->kill(4);
-  const auto marked_dead = [&] { return fleet->allBelieve(4, MemberState::Dead); };
+  const auto marked_dead = [&] { return fleet->allReportState(4, MemberState::Dead); };
   CHECK(fleet->runUntil(marked_dead, seconds(60)) < seconds(15));
   fleet->run(seconds(30));
   CHECK(marked_dead());
@@ -44,9 +44,9 @@
   const std::uint64_t before = fleet->node(0)->membership().member("node-5")->incarnation;
   fleet->kill(4);
   fleet->run(seconds(20));
-  REQUIRE(fleet->allBelieve(4, MemberState::Dead));
+  REQUIRE(fleet->allReportState(4, MemberState::Dead));
   fleet->start(4);
-  const auto alive = [&] { return fleet->allBelieve(4, MemberState::Alive); };
+  const auto alive = [&] { return fleet->allReportState(4, MemberState::Alive); };
   CHECK(fleet->runUntil(alive, seconds(60)) < seconds(10));
   CHECK(fleet->node(0)->membership().member("node-5")->incarnation > before);
 }
@@ -59,7 +59,7 @@
   gossip.members.back().state = MemberState::Suspect;
   fleet->node(0)->onPeerMessage(fleet->machineOf(1).peer_address, GossipPush{gossip});
   REQUIRE(fleet->node(0)->membership().member("node-3")->state == MemberState::Suspect);
-  const auto alive = [&] { return fleet->allBelieve(2, MemberState::Alive); };
+  const auto alive = [&] { return fleet->allReportState(2, MemberState::Alive); };
   CHECK(fleet->runUntil(alive, seconds(30)) < seconds(8));
   fleet->run(seconds(20));
   CHECK(alive());
@@ -70,8 +70,8 @@
   fleet->network().cut("node-1", "node-2");
   fleet->network().cut("node-2", "node-1");
   fleet->run(seconds(60));
-  CHECK(fleet->allBelieve(0, MemberState::Alive));
-  CHECK(fleet->allBelieve(1, MemberState::Alive));
+  CHECK(fleet->allReportState(0, MemberState::Alive));
+  CHECK(fleet->allReportState(1, MemberState::Alive));
 }
 
 TEST_CASE("zone marked dead during a partition is alive again after it heals") {
@@ -103,7 +103,7 @@
   auto fleet = settledFleet(fleetOf(30));
   fleet->node(7)->startLeaving();
   CHECK(fleet->node(7)->placementBlockedBy() != Reason::None);
-  const auto leaving = [&] { return fleet->allBelieve(7, MemberState::Leaving); };
+  const auto leaving = [&] { return fleet->allReportState(7, MemberState::Leaving); };
   CHECK(fleet->runUntil(leaving, seconds(30)) < seconds(4));
 }
 
--- a/tests/cluster/view_lease_test.cc
+++ b/tests/cluster/view_lease_test.cc
@@ -7,8 +7,8 @@
 namespace lugfork {
 namespace {
 
-HollowFleetSettings sixNodes(bool lease_enabled) {
-  HollowFleetSettings settings;
+InProcessFleetSettings sixNodes(bool lease_enabled) {
+  InProcessFleetSettings settings;
   settings.nodes = 6;
   settings.node.lease.enabled = lease_enabled;
   return settings;
@@ -19,9 +19,9 @@
  * @return true if that node would place flows on it after resuming.
  */
 bool placesOnDrainedBackendAfterResuming(bool lease_enabled) {
-  const HollowFleetSettings settings = sixNodes(lease_enabled);
+  const InProcessFleetSettings settings = sixNodes(lease_enabled);
   auto fleet = settledFleet(settings);
-  const Backend backend = HollowFleet::makeConfiguration(settings).backends[0];
+  const Backend backend = InProcessFleet::makeConfiguration(settings).backends[0];
   fleet->pause(3);
   fleet->run(seconds(30));
   fleet->setDraining(backend.id);
@@ -84,7 +84,7 @@
   };
   for (const IsolationCase& test : cases) {
     INFO(test.name);
-    HollowFleetSettings settings;
+    InProcessFleetSettings settings;
     settings.nodes = 3;
     auto fleet = settledFleet(settings);
     if (!test.peers_reachable) {
@@ -114,9 +114,9 @@
   };
   for (const JoinCase& test : cases) {
     INFO(test.name);
-    HollowFleetSettings settings;
+    InProcessFleetSettings settings;
     settings.nodes = 4;
-    HollowFleet fleet(settings);
+    InProcessFleet fleet(settings);
     if (test.peers_running) {
       fleet.start(1);
       fleet.start(2);
