--- a/bench/data_path_bench.cc
+++ b/bench/data_path_bench.cc
@@ -1,7 +1,7 @@
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
-#include "common/bounded_event_log.h"
+#include "common/rate_limited_event_log.h"
 #include "flow/flow_router.h"
 #include "flow/packet_router.h"
 #include "wire/datagram_codec.h"
--- a/src/balancer/node.h
+++ b/src/balancer/node.h
@@ -106,7 +106,7 @@
   const BackendLoadTable& loads() const { return loads_; }
   const LoadGossip& loadSpread() const { return load_spread_; }
   const Membership& membership() const { return membership_; }
-  const ProbeSchedule& probes() const { return probes_; }
+  const BackendProbeSchedule& probes() const { return probes_; }
 
  private:
   // FlowRouterHost
@@ -174,7 +174,7 @@
   std::string initial_document_;
   ConfigVersion initial_document_version_;
   MonotonicTime next_token_prompted_read_at_;
-  ProbeSchedule probes_;
+  BackendProbeSchedule probes_;
   LoadGossip load_spread_;
   ControlBudget budget_;
   MonotonicTime next_gossip_at_;
--- a/src/cluster/probe_assignment.cc
+++ b/src/cluster/probe_assignment.cc
@@ -64,11 +64,11 @@
   return assigned;
 }
 
-void ProbeSchedule::setAssignment(std::vector<BackendId> backends) {
+void BackendProbeSchedule::setAssignment(std::vector<BackendId> backends) {
   backends_ = std::move(backends);
 }
 
-std::vector<BackendId> ProbeSchedule::due(MonotonicTime now) {
+std::vector<BackendId> BackendProbeSchedule::due(MonotonicTime now) {
   std::vector<BackendId> due;
   if (backends_.empty()) {
     return due;
@@ -84,7 +84,7 @@
   return due;
 }
 
-Duration ProbeSchedule::interval() const {
+Duration BackendProbeSchedule::interval() const {
   const auto interval_at_max_rate = seconds(1) * static_cast<std::int64_t>(backends_.size()) /
                                     static_cast<std::int64_t>(settings_.max_probes_per_second);
   return std::max(settings_.min_interval,
--- a/src/cluster/probe_assignment.h
+++ b/src/cluster/probe_assignment.h
@@ -32,9 +32,9 @@
                                     std::size_t probers_per_backend);
 
 /** Spreads the probes of an assignment evenly over time. */
-class ProbeSchedule {
+class BackendProbeSchedule {
  public:
-  explicit ProbeSchedule(ProbeSettings settings) : settings_(settings) {}
+  explicit BackendProbeSchedule(ProbeSettings settings) : settings_(settings) {}
 
   void setAssignment(std::vector<BackendId> backends);
 
--- a/src/flow/shared_evidence.h
+++ b/src/flow/shared_evidence.h
@@ -169,10 +169,10 @@
   std::map<ZoneId, MonotonicTime> unreachable_zones_;
 };
 
-/** @return the age as encoded in messages; kNeverMilliseconds for an unset time. */
+/** @return the age as encoded in messages; kNeverMs for an unset time. */
 std::uint16_t toWireAge(MonotonicTime now, MonotonicTime time);
 
-/** @return the time that an age in a message denotes; unset for kNeverMilliseconds. */
+/** @return the time that an age in a message denotes; unset for kNeverMs. */
 MonotonicTime fromWireAge(MonotonicTime now, std::uint16_t age_ms);
 
 }  // namespace lugfork
--- a/src/programs/sim_report.cc
+++ b/src/programs/sim_report.cc
@@ -23,7 +23,7 @@
 }
 
 int report(const ReportSettings& settings) {
-  std::vector<SimulationResult> results;
+  std::vector<SimulationSummary> results;
   for (const std::string& text : settings.results) {
     const auto equals = text.find('=');
     const std::string path = text.substr(equals + 1);
--- a/src/runtime/node_daemon.cc
+++ b/src/runtime/node_daemon.cc
@@ -202,7 +202,7 @@
   return response;
 }
 
-bool NodeDaemon::waitForVersionAbove(const WatchRequest& watch) {
+bool NodeDaemon::waitForVersionAbove(const StatusWatchRequest& watch) {
   const MonotonicTime deadline = time_source_.monotonicTime() + watch.timeout;
   const auto reached = [&] {
     return callOnLoop(io_context_, [&] { return node_.configuration().version() > watch.from; });
--- a/src/runtime/node_daemon.h
+++ b/src/runtime/node_daemon.h
@@ -59,7 +59,7 @@
    * Blocks until a version above `watch.from` is in force, the timeout ends or the daemon stops.
    * @return true if such a version is in force.
    */
-  bool waitForVersionAbove(const WatchRequest& watch);
+  bool waitForVersionAbove(const StatusWatchRequest& watch);
   void logRejectedPeers();
   HttpServerSecurity apiSecurity() const;
 
--- a/src/runtime/resource_api.cc
+++ b/src/runtime/resource_api.cc
@@ -44,7 +44,7 @@
   if (!timeout_ms || *timeout_ms > limit) {
     return {std::nullopt, "timeout_ms must be a number from 0 to " + std::to_string(limit)};
   }
-  return {WatchRequest{ConfigVersion(*version), milliseconds(*timeout_ms)}, ""};
+  return {StatusWatchRequest{ConfigVersion(*version), milliseconds(*timeout_ms)}, ""};
 }
 
 HttpResponse ResourceApi::handle(const HttpRequest& request) {
--- a/src/runtime/resource_api.h
+++ b/src/runtime/resource_api.h
@@ -10,7 +10,7 @@
 namespace lugfork {
 
 /** Request to wait until a version above `from` is in force. */
-struct WatchRequest {
+struct StatusWatchRequest {
   ConfigVersion from;
   Duration timeout{};
 };
@@ -18,7 +18,7 @@
 /** Watch parameters of a request. */
 struct WatchParameters {
   /** Unset for a plain read. */
-  std::optional<WatchRequest> watch;
+  std::optional<StatusWatchRequest> watch;
   /** Error message; empty if the parameters are valid. */
   std::string problem;
 };
--- a/src/runtime/simulation_page.cc
+++ b/src/runtime/simulation_page.cc
@@ -18,16 +18,16 @@
 struct Measure {
   const char* name;
   const char* colour;
-  double SimulationResult::*value;
+  double SimulationSummary::*value;
 };
 
 constexpr Measure kBrokenFlows[] = {
-    {"planned changes", "#c0392b", &SimulationResult::broken_planned},
-    {"unplanned backend failures", "#7f8c8d", &SimulationResult::broken_unplanned},
+    {"planned changes", "#c0392b", &SimulationSummary::broken_planned},
+    {"unplanned backend failures", "#7f8c8d", &SimulationSummary::broken_unplanned},
 };
 constexpr Measure kImbalance[] = {
-    {"median", "#2980b9", &SimulationResult::imbalance_p50},
-    {"99th percentile", "#8e44ad", &SimulationResult::imbalance_p99},
+    {"median", "#2980b9", &SimulationSummary::imbalance_p50},
+    {"99th percentile", "#8e44ad", &SimulationSummary::imbalance_p99},
 };
 
 std::string escape(const std::string& text) {
@@ -53,9 +53,9 @@
   return escaped;
 }
 
-double maxValue(const std::vector<SimulationResult>& results, const Measure (&measures)[2]) {
+double maxValue(const std::vector<SimulationSummary>& results, const Measure (&measures)[2]) {
   double max_value = 0;
-  for (const SimulationResult& result : results) {
+  for (const SimulationSummary& result : results) {
     for (const Measure& measure : measures) {
       max_value = std::max(max_value, result.*measure.value);
     }
@@ -70,7 +70,7 @@
       << "\" y=\"" << y + kBarHeight - 4 << "\">" << value << "</text>\n";
 }
 
-std::string chart(const std::string& title, const std::vector<SimulationResult>& results,
+std::string chart(const std::string& title, const std::vector<SimulationSummary>& results,
                   const Measure (&measures)[2]) {
   const double max_value = maxValue(results, measures);
   const int group = 2 * kBarHeight + kGroupGap;
@@ -83,7 +83,7 @@
   svg << "</p>\n<svg xmlns=\"http://www.w3.org/2000/svg\" width=\""
       << kLabelWidth + kBarWidth + kValueWidth << "\" height=\"" << height << "\">\n";
   int y = kGroupGap;
-  for (const SimulationResult& result : results) {
+  for (const SimulationSummary& result : results) {
     svg << "<text x=\"0\" y=\"" << y + kBarHeight << "\">" << escape(result.label) << "</text>\n";
     for (const Measure& measure : measures) {
       drawBar(svg, y, result.*measure.value, max_value, measure.colour);
@@ -95,17 +95,17 @@
   return svg.str();
 }
 
-std::string table(const std::vector<SimulationResult>& results) {
+std::string table(const std::vector<SimulationSummary>& results) {
   std::ostringstream html;
   html << "<h2>All counts</h2>\n<table>\n<tr><th></th>";
-  for (const SimulationResult& result : results) {
+  for (const SimulationSummary& result : results) {
     html << "<th>" << escape(result.label) << "</th>";
   }
   html << "</tr>\n";
   for (const auto& field_of_first : results.front().fields) {
     const std::string& name = field_of_first.first;
     html << "<tr><td>" << escape(name) << "</td>";
-    for (const SimulationResult& result : results) {
+    for (const SimulationSummary& result : results) {
       const auto field = std::find_if(result.fields.begin(), result.fields.end(),
                                       [&](const auto& entry) { return entry.first == name; });
       html << "<td>" << (field == result.fields.end() ? "" : escape(field->second)) << "</td>";
@@ -118,13 +118,13 @@
 
 }  // namespace
 
-Result<SimulationResult, std::string> parseSimulationResult(const std::string& label,
-                                                            const std::string& json_text) {
+Result<SimulationSummary, std::string> parseSimulationResult(const std::string& label,
+                                                             const std::string& json_text) {
   const auto document = nlohmann::ordered_json::parse(json_text, nullptr, false);
   if (!document.is_object()) {
     return std::string("must be the single JSON object that lugfork-sim run prints");
   }
-  SimulationResult result;
+  SimulationSummary result;
   result.label = label;
   const std::pair<const char*, double*> numbers[] = {
       {"broken_planned", &result.broken_planned},
@@ -144,7 +144,7 @@
   return result;
 }
 
-std::string renderSimulationPage(const std::vector<SimulationResult>& results) {
+std::string renderSimulationPage(const std::vector<SimulationSummary>& results) {
   std::ostringstream page;
   page << "<!DOCTYPE html>\n<html><head><meta charset=\"utf-8\"><title>lugfork simulation</title>\n"
           "<style>body{font-family:sans-serif;margin:2em}svg text{font-size:12px}"
--- a/src/runtime/simulation_page.h
+++ b/src/runtime/simulation_page.h
@@ -8,7 +8,7 @@
 namespace lugfork {
 
 /** Totals of one `lugfork-sim run --format json` that the page shows. */
-struct SimulationResult {
+struct SimulationSummary {
   /** Free text that names the router and placement of the run. */
   std::string label;
   double broken_planned = 0;
@@ -20,10 +20,10 @@
 };
 
 /** Parses one result. @return the result, or an error message. */
-Result<SimulationResult, std::string> parseSimulationResult(const std::string& label,
-                                                            const std::string& json_text);
+Result<SimulationSummary, std::string> parseSimulationResult(const std::string& label,
+                                                             const std::string& json_text);
 
 /** @return a self-contained HTML page: two bar charts (SVG) and a table of all fields. */
-std::string renderSimulationPage(const std::vector<SimulationResult>& results);
+std::string renderSimulationPage(const std::vector<SimulationSummary>& results);
 
 }  // namespace lugfork
--- a/tests/cluster/probe_assignment_test.cc
+++ b/tests/cluster/probe_assignment_test.cc
@@ -66,7 +66,7 @@
 
 TEST_CASE("probe schedule keeps its maximum rate and does not catch up after a pause") {
   ProbeSettings settings;
-  ProbeSchedule schedule(settings);
+  BackendProbeSchedule schedule(settings);
   std::vector<BackendId> backends;
   for (std::uint32_t id = 1; id <= 40; ++id) {
     backends.push_back(BackendId(id));
--- a/tests/load/admission_replay.h
+++ b/tests/load/admission_replay.h
@@ -154,10 +154,9 @@
     }
     ++outcome_.sent_count;
     balancer.onRequest(ServiceId(1));
-    SimulatedBackend& first = backends_[random_->below(kBackendCount)];
-    SimulatedBackend& second = backends_[random_->below(kBackendCount)];
-    SimulatedBackend& backend =
-        first.requestCount(now) <= second.requestCount(now) ? first : second;
+    QueueingBackend& first = backends_[random_->below(kBackendCount)];
+    QueueingBackend& second = backends_[random_->below(kBackendCount)];
+    QueueingBackend& backend = first.requestCount(now) <= second.requestCount(now) ? first : second;
     if (backend.isFull(now)) {
       ++outcome_.backend_rejection_count;
       const Duration wait = milliseconds(20) + Duration(random_->below(25000));
@@ -200,7 +199,7 @@
     }
     outcome_.min_level = std::min(outcome_.min_level, level);
     outcome_.max_level = std::max(outcome_.max_level, level);
-    for (SimulatedBackend& backend : backends_) {
+    for (QueueingBackend& backend : backends_) {
       outcome_.requests_per_slot_sum +=
           static_cast<double>(backend.requestCount(clock.monotonicTime())) / 2;
       ++outcome_.sample_count;
@@ -212,7 +211,7 @@
       std::make_shared<const ConfigurationView>(replayConfiguration(kBackendCount));
   std::unique_ptr<RandomGenerator> random_ = makeSeededRandom(11);
   NullEventLog log_;
-  std::vector<SimulatedBackend> backends_;
+  std::vector<QueueingBackend> backends_;
   std::vector<std::unique_ptr<LoadControl>> balancers_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   double due_requests_ = 0;
--- a/tests/load/load_fixture.h
+++ b/tests/load/load_fixture.h
@@ -18,7 +18,7 @@
 };
 
 /** Backend with two slots and a queue of eight. */
-class SimulatedBackend {
+class QueueingBackend {
  public:
   static constexpr std::size_t kMaxRequests = 10;
 
--- a/tests/load/service_load_test.cc
+++ b/tests/load/service_load_test.cc
@@ -54,7 +54,7 @@
   void startRequest(Duration work) {
     const MonotonicTime now = clock.monotonicTime();
     estimator.onRequest(kService);
-    SimulatedBackend& backend = backends_[random->below(kBackendCount)];
+    QueueingBackend& backend = backends_[random->below(kBackendCount)];
     const MonotonicTime at =
         backend.isFull(now)
             ? now + milliseconds(20) + Duration(static_cast<int>(random->below(25000)))
@@ -69,7 +69,7 @@
     }
   }
 
-  std::array<SimulatedBackend, kBackendCount> backends_;
+  std::array<QueueingBackend, kBackendCount> backends_;
   std::priority_queue<Response, std::vector<Response>, std::greater<>> responses_;
 };
 
