--- a/tests/scripts/run_tests_test.sh
+++ b/tests/scripts/run_tests_test.sh
@@ -7,7 +7,9 @@
 mkdir -p "$tree/scripts" "$tree/.ci" "$tree/bin"
 cp "$source_folder/scripts/run-tests.sh" "$tree/scripts/"
 cp "$source_folder/.ci/run" "$tree/.ci/"
-printf '#!/usr/bin/env bash\n' > "$tree/.ci/check-platform-names"
+for check in check-platform-names check-document-names; do
+  printf '#!/usr/bin/env bash\n' > "$tree/.ci/$check"
+done
 
 # Has the tests "one", "two (2)" and "three", of which $FAILING fails and "three" is skipped if
 # $SKIPPING is set; its output contains a line of a test that looks like ctest's totals.
@@ -41,7 +43,7 @@
 echo "make says more"
 [ "$1" != "${FAILING_TARGET:-}" ]
 EOF
-chmod +x "$tree/bin/ctest" "$tree/bin/make" "$tree/.ci/check-platform-names"
+chmod +x "$tree/bin/ctest" "$tree/bin/make" "$tree"/.ci/check-*
 
 # The script under test.
 script=scripts/run-tests.sh
