--- a/tests/flow/overflow_by_demand_test.cc
+++ b/tests/flow/overflow_by_demand_test.cc
@@ -262,7 +262,7 @@
     "balancers of a zone agree on the local fraction, so retransmissions reach the same backend",
     "[locality][demand]") {
   // Mean over 20 seconds in the two zones with overflow.
-  const auto fractionDeviation = [](ReplayVariant variant, const BackendCounts& backend_counts) {
+  const auto fraction_deviation = [](ReplayVariant variant, const BackendCounts& backend_counts) {
     LoadReplay replay = start(variant, {25, backend_counts}, {0.56, 0.56, 0.56});
     replay.run(10);
     double sum = 0;
@@ -272,10 +272,10 @@
     }
     return sum / 40;
   };
-  CHECK(fractionDeviation(kByDemand, kUnequal) < 0.12);
-  CHECK(fractionDeviation(kByDemand, kUnequal) <
-        0.6 * fractionDeviation(kByResponseTime, kUnequal));
-  CHECK(fractionDeviation(kByDemand, kEqual) < 0.06);
+  CHECK(fraction_deviation(kByDemand, kUnequal) < 0.12);
+  CHECK(fraction_deviation(kByDemand, kUnequal) <
+        0.6 * fraction_deviation(kByResponseTime, kUnequal));
+  CHECK(fraction_deviation(kByDemand, kEqual) < 0.06);
 }
 
 }  // namespace
--- a/tests/flow/placement_engine_test.cc
+++ b/tests/flow/placement_engine_test.cc
@@ -189,15 +189,15 @@
 
 TEST_CASE("a backend that has just started receives a small and rising fraction of flows") {
   PlacementHarness harness(4);
-  const auto flowsAtUptime = [&](std::uint32_t uptime_ms) {
+  const auto flows_at_uptime = [&](std::uint32_t uptime_ms) {
     harness.time.elapsed += seconds(1);
     for (std::uint32_t id = 1; id <= 4; ++id) {
       harness.report(id, 1, 0, id == 1 ? uptime_ms : 1000000);
     }
     return harness.placeMany(8)[1];
   };
-  const int at_start = flowsAtUptime(100);
-  const int warm = flowsAtUptime(20000);
+  const int at_start = flows_at_uptime(100);
+  const int warm = flows_at_uptime(20000);
   CHECK(at_start == 0);
   CHECK(warm >= 1);
 }
