--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
 # make demo: install, build, serve requests through separate processes on loopback.
 # make test: install, build, run all tests.
-# make soak SEEDS=A..B: random storms of both users in the simulator; fails on a broken promise.
-# make soak-processes SECONDS=60 SEED=1 [NODES=6] [PLAN=soak_cuts]: real balancers on loopback under
-# random faults, or under cuts of zones beside slow processors, silent servers and releases.
+# make soak SEEDS=A..B: random faults with the workloads of both users in the simulator; fails on a violation.
+# make soak-processes SECONDS=60 SEED=1 [NODES=6] [PLAN=soak_cuts]: balancer processes on loopback
+# under random faults, or under zone partitions with CPU limits, silent backends and replacements.
 # SOAK_SECOND_PROGRAM=path of another build's lugfork-packetd: every second balancer runs that one.
 .PHONY: demo test soak soak-processes build packages format format-check lint clean
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Serves the radio example on loopback with every piece as a process of its own, kills one balancer
-# while streams run, and checks that no stream broke. Usage: demo.sh BUILD_DIR
+# Serves the radio example on loopback with separate processes, kills one balancer while streams
+# run, and checks that no stream broke. Usage: demo.sh BUILD_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
@@ -15,7 +15,7 @@
 }
 trap stop_all EXIT
 
-start() { # start NAME COMMAND...: runs a process in the background with a log of its own
+start() { # start NAME COMMAND...: runs a process in the background with a separate log
   local name=$1
   shift
   "$@" >"$logs/$name.out" 2>"$logs/$name.log" &
@@ -23,7 +23,7 @@
   pids+=("$last_pid")
 }
 
-wait_ready() { # wait_ready API_ADDRESS: until the balancer answers that it places flows
+wait_ready() { # wait_ready API_ADDRESS: waits until the balancer reports that it places flows
   for _ in $(seq 300); do
     curl -fsS "http://$1/healthz" >/dev/null 2>&1 && return 0
     sleep 0.1
@@ -65,7 +65,7 @@
 through_lac=$(forwards 20032)
 through_ariana=$(forwards 20033)
 kill -KILL "${balancer_pids[0]}"
-wait "${balancer_pids[0]}" 2>/dev/null || true # takes the shell's own report of the kill
+wait "${balancer_pids[0]}" 2>/dev/null || true # suppresses the shell's message about the kill
 echo "datagrams forwarded so far: charguia $through_charguia, lac $through_lac, ariana $through_ariana; charguia's balancer is dead now"
 status=0
 wait "$streams_pid" || status=1
@@ -74,7 +74,7 @@
 cat "$logs/streams.out"
 echo "== uploads"
 cat "$logs/uploads.out"
-echo "== each back end's record of the balancers that forwarded a flow's datagrams"
+echo "== each backend's record of the balancers that forwarded a flow's datagrams"
 probe_addresses=$(seq -f '127.0.0.1:%.0f' 20201 20219)
 python3 scripts/flow_paths.py $example/machines.json $probe_addresses || status=1
 if [ $status -eq 0 ]; then echo "demo passed: no flow broke"; else echo "demo FAILED" >&2; tail -n 5 "$logs"/*.log >&2; fi
--- a/scripts/flow_paths.py
+++ b/scripts/flow_paths.py
@@ -1,9 +1,9 @@
-"""Prints which balancers forwarded the datagrams of each flow, as the back ends recorded it.
+"""Prints which balancers forwarded the datagrams of each flow, as the backends recorded it.
 
 Usage: flow_paths.py MACHINE_LIST BACKEND_PROBE_ADDRESS...
-Exits with 0 if one caller has a flow that reached a single back end through balancers of at least
-two zones, and no attempt of a flow reached two back ends; otherwise with 1. (A flow that was
-refused as not run is tried again under the next attempt, perhaps elsewhere.)
+Exits with 0 if at least one flow reached a single backend through balancers of two or more zones, and
+no attempt of a flow reached two backends; otherwise with 1. (A flow that was refused as not run is
+retried as the next attempt, perhaps at another backend.)
 """
 
 import json
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build needs from Debian's packages; does nothing where all of it is there.
+# Installs the Debian packages that the build needs; does nothing if all are installed.
 set -euo pipefail
 packages=(cmake ninja-build g++ pkg-config clang-format clang-tidy curl python3 libcivetweb-dev libcli11-dev
   liblog4cxx-dev libboost-dev catch2 libzmq3-dev cppzmq-dev libmsgpack-cxx-dev nlohmann-json3-dev
--- a/scripts/load-curve.py
+++ b/scripts/load-curve.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
-"""Plays a site under loads that fill or exceed its slots, and draws how much of its worth is served.
+"""Runs a site under loads that fill or exceed its slots, and plots the fraction of its worth served.
 
     scripts/load-curve.py --bench PATH/fleetbench [--loads 0.5,0.8,1,1.3,2] [--work MS] [--zones 84,24,12]
                           [--burst] [--dark] [--seconds 16] [--seeds 1] [--seed-of-day]
                           [--plot FILE.svg] [--no-cpu] [--why TEXT] SITE
 
-A load of 1 keeps all slots of the busiest service busy. The site and its day are written anew into a
-scratch folder: `--work` gives every kind of request of that service another mean work, `--zones` places
-the first service's servers unevenly, `--burst` multiplies the traffic by six for six seconds, `--dark`
-ends the day with a loss of power at all balancers for 1.6 s. "bound" is what one queue before all slots
-could earn if it served the kinds with the most worth for their work first. Ends with 1 where a rule was
-broken or a day could not be played.
+A load of 1 keeps all slots of the busiest service busy. Changed copies of the site and its day are written to a
+scratch folder: `--work` sets the mean work of all kinds of requests of that service, `--zones` distributes
+the first service's backends over the zones, `--burst` multiplies the traffic by six for six seconds, `--dark`
+ends the day with a loss of power at all balancers for 1.6 s. "bound" is what a single queue for all
+slots could earn if it served the kinds with the highest worth per work first. Exits with 1 if a rule was
+broken or a day could not be run.
 """
 import argparse
 import copy
@@ -29,12 +29,12 @@
 SPEC.loader.exec_module(PLAY_LOAD)
 
 BURST = {"kind": "burst", "at": 5.0, "for_s": 6.0, "x": 6.0}
-DARK = {"kind": "power_off_all", "down_s": 1.6}
+POWER_OFF = {"kind": "power_off_all", "down_s": 1.6}
 PLOT_WIDTH, PLOT_HEIGHT, MARGIN = 640, 360, 48
 
 
 def busiest_service(site, day):
-    """@return the name of the service whose slots are in use most, and that share."""
+    """@return the name of the service with the highest utilization of its slots, and that utilization."""
     one = {"classes": site["classes"], "day": [day], "services": site["services"]}
     shares = {}
     for service in site["services"]:
@@ -42,13 +42,13 @@
         own = copy.deepcopy(one)
         for kind in own["classes"]:
             kind["work_ms"] = dict(kind["work_ms"], mean=kind["work_ms"]["mean"] if kind["name"] in kinds else 0)
-        shares[service["name"]] = PLAY_LOAD.share_in_use(own, day["name"], 1)
+        shares[service["name"]] = PLAY_LOAD.max_utilization(own, day["name"], 1)
     name = max(shares, key=shares.get)
     return name, shares[name]
 
 
 def changed_site(arguments, site, day):
-    """@return the site with the work and the zones that were asked for."""
+    """@return the site with the requested work and zones."""
     site = copy.deepcopy(site)
     service, _ = busiest_service(site, day)
     for kind in site["classes"]:
@@ -62,7 +62,7 @@
 
 
 def changed_day(arguments, site, load):
-    """@return the day without troubles and with traffic for the load."""
+    """@return the day without faults and with traffic for the load."""
     day = copy.deepcopy(next(entry for entry in site["day"] if entry["name"] == arguments.day))
     factor = load / busiest_service(site, day)[1]
     day["traffic"] = [dict(part, per_s=part["per_s"] * factor) for part in day["traffic"]]
@@ -70,12 +70,12 @@
     day["length_s"] = arguments.seconds
     day.pop("closing", None)
     if arguments.dark:
-        day["closing"] = DARK
+        day["closing"] = POWER_OFF
     return day
 
 
 def bound(site, day):
-    """@return the largest share of the worth that the slots can earn."""
+    """@return the largest fraction of the worth that the slots can earn."""
     services = {service["name"]: service["slots"] * sum(place["count"] for place in service["servers"])
                 for service in site["services"]}
     kinds = {kind["name"]: kind for kind in site["classes"]}
@@ -112,7 +112,7 @@
 
 
 def plot(points, target):
-    """Draws the served worth and the bound over the load."""
+    """Plots the served worth and the bound over the load."""
     right = max(load for load, _, _ in points) * 1.05
 
     def place(load, value):
@@ -138,17 +138,17 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", required=True, help="the bench's program")
-    parser.add_argument("--day", default="scale-1", help="standard day whose traffic is taken")
-    parser.add_argument("--loads", default="0.5,0.8,1,1.3,2", help="shares of the slots, by commas")
+    parser.add_argument("--day", default="scale-1", help="standard day whose traffic is used")
+    parser.add_argument("--loads", default="0.5,0.8,1,1.3,2", help="loads as fractions of the slots, comma-separated")
     parser.add_argument("--work", type=float, default=0, help="mean work of a request [ms]")
-    parser.add_argument("--zones", default="", help="servers of the first service by zone, by commas")
+    parser.add_argument("--zones", default="", help="backends of the first service by zone, comma-separated")
     parser.add_argument("--burst", action="store_true", help="six times the traffic for six seconds")
     parser.add_argument("--dark", action="store_true", help="all balancers lose power at the end for 1.6 s")
     parser.add_argument("--seconds", type=float, default=16, help="length of the day")
-    parser.add_argument("--seeds", default="", help="seeds, by commas; the day's own without")
+    parser.add_argument("--seeds", default="", help="seeds, comma-separated; default: the day's seed")
     parser.add_argument("--plot", help="file for the plot")
-    parser.add_argument("--no-cpu", action="store_true", help="charge no processor time")
-    parser.add_argument("--why", default="Load curve", help="goes into the journal")
+    parser.add_argument("--no-cpu", action="store_true", help="charge no CPU time")
+    parser.add_argument("--why", default="Load curve", help="reason recorded in the journal")
     parser.add_argument("site")
     arguments = parser.parse_args()
     given = tomllib.loads(pathlib.Path(arguments.site).read_text())
--- a/scripts/play-days.py
+++ b/scripts/play-days.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Plays every day file of deploy/days on each site given and prints which rules were broken.
+"""Runs every day file of deploy/days on each given site and prints the broken rules.
 
     scripts/play-days.py --bench PATH/fleetbench [--seeds 1,2,3] [--why TEXT] SITE...
 
-Ends with 1 where a rule was broken or a day could not be played.
+Exits with 1 if a rule was broken or a day could not be run.
 """
 import argparse
 import json
@@ -16,7 +16,7 @@
 
 
 def play(bench, site, day, seed, why):
-    """@return the bench's report of one day, or None where it was not played."""
+    """@return the bench's report of one day, or None if it could not be run."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [bench, "run", site, str(day), "--report", str(report), "--why", why]
@@ -32,8 +32,8 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", required=True, help="the bench's program")
-    parser.add_argument("--seeds", default="", help="seeds, by commas; each day's own without")
-    parser.add_argument("--why", default="The days of deploy/days", help="goes into the journal")
+    parser.add_argument("--seeds", default="", help="seeds, comma-separated; default: each day's seed")
+    parser.add_argument("--why", default="The days of deploy/days", help="reason recorded in the journal")
     parser.add_argument("sites", nargs="+")
     arguments = parser.parse_args()
     broken = 0
--- a/scripts/play-load.py
+++ b/scripts/play-load.py
@@ -1,13 +1,12 @@
 #!/usr/bin/env python3
-"""Plays one day of a site at several factors of its traffic and prints how it was served.
+"""Runs one day of a site at several multiples of its traffic and prints how it was served.
 
     scripts/play-load.py --bench PATH/fleetbench [--day NAME] [--factors 1,1.5,2] [--seeds 1,2,3]
                          [--work 1] [--faults none|closing|all] [--windows] [--why TEXT] SITE
 
-The day is written as a day file of its own into a scratch folder. "In use" is the share of the
-slots of all services that the asked work would keep busy; "bound" is the share of all requests that
-one queue before all slots could serve in time, from the arrivals alone. Ends with 1 where a rule was
-broken or a day could not be played.
+The day is written to a separate day file in a scratch folder. "In use" is the fraction of the slots
+that the requested work would keep busy, for the service where it is highest. Exits with 1 if a rule
+was broken or a day could not be run.
 """
 import argparse
 import json
@@ -19,7 +18,7 @@
 
 
 def toml_value(value):
-    """@return the value as TOML writes it; tables inline."""
+    """@return the value in TOML syntax; tables inline."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, dict):
@@ -40,8 +39,8 @@
     return "".join(f"{key} = {toml_value(value)}\n" for key, value in day.items())
 
 
-def share_in_use(site, name, factor):
-    """@return the asked work over the slots of each service, of the service where it is largest."""
+def max_utilization(site, name, factor):
+    """@return the highest ratio of requested work to slots over all services."""
     classes = {entry["name"]: entry for entry in site["classes"]}
     day = next(day for day in site["day"] if day["name"] == name)
     busy = {}
@@ -78,11 +77,11 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", required=True, help="the bench's program")
     parser.add_argument("--day", default="trouble-1", help="standard day whose traffic is scaled")
-    parser.add_argument("--factors", default="1,1.5,2", help="factors of its traffic, by commas")
-    parser.add_argument("--seeds", default="", help="seeds, by commas; the day's own without")
+    parser.add_argument("--factors", default="1,1.5,2", help="factors of its traffic, comma-separated")
+    parser.add_argument("--seeds", default="", help="seeds, comma-separated; default: the day's seed")
     parser.add_argument("--faults", default="none", choices=["none", "closing", "all"])
     parser.add_argument("--windows", action="store_true", help="print each window that lost worth")
-    parser.add_argument("--why", default="Load curve", help="goes into the journal")
+    parser.add_argument("--why", default="Load curve", help="reason recorded in the journal")
     parser.add_argument("site")
     arguments = parser.parse_args()
     site = tomllib.loads(pathlib.Path(arguments.site).read_text())
@@ -100,7 +99,7 @@
             rows = window_rows(text)
             figures = [sum(int(row.split()[column]) for row in rows) for column in range(1, 6)]
             asked, in_aim, late, refused, failed = figures
-            print(f"{name}: in use {share_in_use(site, arguments.day, factor):.2f}, asked {asked},"
+            print(f"{name}: in use {max_utilization(site, arguments.day, factor):.2f}, asked {asked},"
                   f" in aim {in_aim / asked:.4f}, late {late / asked:.4f}, refused {refused / asked:.4f},"
                   f" failed {failed / asked:.4f}, worth {report['G']:.3f},"
                   f" {'BROKEN ' + json.dumps(problems) if problems else 'no rule broken'}", flush=True)
--- a/scripts/processor-budget.py
+++ b/scripts/processor-budget.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Prints what lugfork-packetd costs in processor time, measured on the real daemon beside a small store.
+"""Measures the CPU time of lugfork-packetd with a small store.
 
     scripts/processor-budget.py [--repeat N] [--servers N] [--daemon PROGRAM]
 
-A node with 0.027 of a core waits 37 ms for each millisecond of this table. Times are those of the
-whole process (all its threads), as the system's scheduler counts them; of repeated starts the median
-and the lowest are given, as other work on the machine only ever adds. Fetches and lines are the
-difference between many and none, divided.
+A node with 0.027 of a core needs 37 ms for each millisecond of this table. Times are the CPU time of
+the whole process (all threads) as accounted by the scheduler. For repeated starts the median and the
+minimum are printed, since other load on the machine only adds time. The cost of a fetch or a log line
+is the difference between many and none, divided by their number.
 """
 import argparse
 import base64
@@ -24,27 +24,27 @@
 import urllib.request
 
 LOOPBACK = "127.0.0.1"
-PATIENCE_S = 20
+TIMEOUT_S = 20
 BAD_PACKETS = 3000
-# Lines that a quiet component may write at once, whatever its rate.
-LINES_AT_ONCE = 200
+# Burst of log lines that a component may write regardless of its rate.
+LOG_BURST_LINES = 200
 PACKETS = 3000
-FIRST_CALLER_PORT = 20000
-SERVER_PORT = 9000
-# Where things stand in packets: what is put before a packet for a server, and the flags behind it.
-FORWARDED_PREFIX = 8
-FLAGS_AT = 26
+FIRST_CLIENT_PORT = 20000
+BACKEND_PORT = 9000
+# Layout of packets: length of the prefix of packets to backends, and offset of the flags.
+FORWARDED_PREFIX_BYTES = 8
+FLAGS_OFFSET = 26
 DATA_FLAG = 2
 FETCHES = 200
 IDLE_S = 5
-# Of the clocks of another process that clock_gettime() knows, the scheduler's.
+# Type bits of the scheduler's clock in the id of another process's CPU clock.
 SCHEDULER_CLOCK = 2
-# The log's appender is loaded before what is measured, as in a node that has run for a while.
-STEADY = ("--log-appender-delay", "0")
+# Loads the log's appender before the measurement, as in a node that has run for a while.
+STEADY_FLAGS = ("--log-appender-delay", "0")
 
 
 class Store(http.server.ThreadingHTTPServer):
-    """Answers reads of a view that never changes; watches are held until their time is over."""
+    """Serves a constant view; watch requests are held until their timeout."""
 
     daemon_threads = True
 
@@ -54,7 +54,7 @@
             {"host": "198.18.0.1", "path_prefix": "/443/", "service": "s"}]})]
         for index in range(servers):
             items.append((f"servers/i-{index + 1:010x}", {
-                "service": "s", "address": f"127.1.{index // 250}.{index % 250 + 1}:{SERVER_PORT}", "zone": "z",
+                "service": "s", "address": f"127.1.{index // 250}.{index % 250 + 1}:{BACKEND_PORT}", "zone": "z",
                 "version": "v", "capacity": 2, "state": "ready", "warmup_left_ms": 0, "seq": 1}))
         self.items = [{"key": key, "value": base64.b64encode(json.dumps(value).encode()).decode(),
                        "revision": index + 1, "created": index + 1, "lease": 0}
@@ -83,7 +83,7 @@
         try:
             super().handle()
         except ConnectionError:
-            # The daemon was killed while its call was held.
+            # The daemon was killed while its request was held.
             pass
 
     def page(self, prefix, after, at):
@@ -117,28 +117,28 @@
         self.settings_file = file.name
         self.process = subprocess.Popen([program, "--settings", file.name, *flags], stdout=subprocess.PIPE)
         self.cost_at = {}
-        self.came = {name: threading.Event() for name in ("started", "view_complete")}
+        self.seen = {name: threading.Event() for name in ("started", "view_complete")}
         threading.Thread(target=self.read_log, daemon=True).start()
 
     def read_log(self):
         for line in self.process.stdout:
             fields = json.loads(line)
             event = fields["event"]
-            if event in self.came and event not in self.cost_at:
-                told = fields.get("processor_us")
-                self.cost_at[event] = self.processor_ms() if told is None else told / 1000
-                self.came[event].set()
-
-    def until(self, event):
-        if not self.came[event].wait(PATIENCE_S):
-            raise RuntimeError(f"no line {event} within {PATIENCE_S} s")
+            if event in self.seen and event not in self.cost_at:
+                reported = fields.get("processor_us")
+                self.cost_at[event] = self.cpu_ms() if reported is None else reported / 1000
+                self.seen[event].set()
+
+    def wait_for(self, event):
+        if not self.seen[event].wait(TIMEOUT_S):
+            raise RuntimeError(f"no log line {event} within {TIMEOUT_S} s")
         return self.cost_at[event]
 
     def threads(self):
         return f"/proc/{self.process.pid}/task"
 
-    def processor_ms(self):
-        # The process's own clock: what /proc says lags behind by up to a tick of the scheduler.
+    def cpu_ms(self):
+        # CPU clock of the process: the times in /proc lag by up to one tick of the scheduler.
         clock = (~self.process.pid << 3) | SCHEDULER_CLOCK
         return time.clock_gettime_ns(clock) / 1e6
 
@@ -162,7 +162,7 @@
 
 
 def settle(daemon):
-    daemon.until("view_complete")
+    daemon.wait_for("view_complete")
     time.sleep(1)
 
 
@@ -177,74 +177,74 @@
     bound, complete = [], []
     for _ in range(repeat):
         with Daemon(program, store) as daemon:
-            complete.append(daemon.until("view_complete"))
-            bound.append(daemon.until("started"))
+            complete.append(daemon.wait_for("view_complete"))
+            bound.append(daemon.wait_for("started"))
     return bound, complete
 
 
 def bad_packets_cost(program, store, lines_per_second):
-    """@return processor time of packets that can't be read, each with a line as far as the limit allows."""
-    with Daemon(program, store, *STEADY, "--log-lines-per-second", str(lines_per_second)) as daemon:
+    """@return CPU time of malformed packets, each logged as far as the rate limit allows [ms]."""
+    with Daemon(program, store, *STEADY_FLAGS, "--log-lines-per-second", str(lines_per_second)) as daemon:
         settle(daemon)
-        before = daemon.processor_ms()
+        before = daemon.cpu_ms()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for _ in range(BAD_PACKETS):
                 sender.sendto(b"bad", daemon.packet)
                 time.sleep(0.0002)
         time.sleep(0.3)
-        return daemon.processor_ms() - before
+        return daemon.cpu_ms() - before
 
 
 def line_cost(program, store):
     written = bad_packets_cost(program, store, 100000)
-    left_out = bad_packets_cost(program, store, 1)
-    return (written - left_out) / (BAD_PACKETS - LINES_AT_ONCE)
+    suppressed = bad_packets_cost(program, store, 1)
+    return (written - suppressed) / (BAD_PACKETS - LOG_BURST_LINES)
 
 
-def opening(caller_port):
+def opening(client_port):
     """@return the first packet of a flow from a port of 127.0.0.1 to 198.18.0.1:443."""
     return (bytes(6) + bytes([127, 0, 0, 1]) + (443).to_bytes(2, "big") + bytes([198, 18, 0, 1])
-            + caller_port.to_bytes(2, "big") + bytes.fromhex("1122334400000000" "0400a1b2c3d5"))
+            + client_port.to_bytes(2, "big") + bytes.fromhex("1122334400000000" "0400a1b2c3d5"))
 
 
 def packet_costs(program, store):
-    """@return processor time of one opening and of one packet of an open flow, with no line written."""
-    with Daemon(program, store, *STEADY, "--log-lines-per-second", "1") as daemon, \
+    """@return CPU time of one opening and of one packet of an open flow, without log lines [ms]."""
+    with Daemon(program, store, *STEADY_FLAGS, "--log-lines-per-second", "1") as daemon, \
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server, \
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-        server.bind(("0.0.0.0", SERVER_PORT))
-        server.settimeout(PATIENCE_S)
+        server.bind(("0.0.0.0", BACKEND_PORT))
+        server.settimeout(TIMEOUT_S)
         settle(daemon)
-        sender.sendto(opening(FIRST_CALLER_PORT), daemon.packet)
-        data = bytearray(server.recv(2048)[FORWARDED_PREFIX:])
-        data[FLAGS_AT] = DATA_FLAG
+        sender.sendto(opening(FIRST_CLIENT_PORT), daemon.packet)
+        data = bytearray(server.recv(2048)[FORWARDED_PREFIX_BYTES:])
+        data[FLAGS_OFFSET] = DATA_FLAG
         costs = []
-        for packets in ([opening(FIRST_CALLER_PORT + 1 + index) for index in range(PACKETS)],
+        for packets in ([opening(FIRST_CLIENT_PORT + 1 + index) for index in range(PACKETS)],
                         [bytes(data)] * PACKETS):
-            before = daemon.processor_ms()
+            before = daemon.cpu_ms()
             for packet in packets:
                 sender.sendto(packet, daemon.packet)
                 time.sleep(0.0002)
             time.sleep(0.3)
-            costs.append((daemon.processor_ms() - before) / PACKETS)
+            costs.append((daemon.cpu_ms() - before) / PACKETS)
         return costs
 
 
 def fetch_cost(program, store):
-    with Daemon(program, store, *STEADY) as daemon:
+    with Daemon(program, store, *STEADY_FLAGS) as daemon:
         settle(daemon)
-        before = daemon.processor_ms()
+        before = daemon.cpu_ms()
         for _ in range(FETCHES):
             urllib.request.urlopen(f"http://{daemon.control}/metrics").read()
-        return (daemon.processor_ms() - before) / FETCHES
+        return (daemon.cpu_ms() - before) / FETCHES
 
 
 def idle_cost(program, store):
-    with Daemon(program, store, *STEADY) as daemon:
+    with Daemon(program, store, *STEADY_FLAGS) as daemon:
         settle(daemon)
-        cost, wakes = daemon.processor_ms(), daemon.wake_ups()
+        cost, wakes = daemon.cpu_ms(), daemon.wake_ups()
         time.sleep(IDLE_S)
-        return (daemon.processor_ms() - cost) / IDLE_S, (daemon.wake_ups() - wakes) / IDLE_S
+        return (daemon.cpu_ms() - cost) / IDLE_S, (daemon.wake_ups() - wakes) / IDLE_S
 
 
 def show(name, values):
@@ -254,8 +254,8 @@
 def main():
     here = os.path.dirname(os.path.abspath(__file__))
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--repeat", type=int, default=20, help="starts that are measured")
-    parser.add_argument("--servers", type=int, default=150, help="servers of the view")
+    parser.add_argument("--repeat", type=int, default=20, help="number of measured starts")
+    parser.add_argument("--servers", type=int, default=150, help="number of backends in the view")
     parser.add_argument("--daemon", default=os.path.join(here, "../build/lugfork-packetd"))
     arguments = parser.parse_args()
     program = os.path.abspath(arguments.daemon)
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
 # Runs all tests. Those named in KNOWN-RED.txt ("test | cause | issue", three lines at most) run
-# apart: they are printed, and their failure does not fail the run; a line that names no test does.
+# apart: they are printed, and their failure does not fail the run; a line that names no test fails it.
 # The last line of the output, also kept in build/test-totals.txt, counts all tests:
-# "N passed, N failed", with ", N skipped" where some were.
+# "N passed, N failed", with ", N skipped" if any were.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-readonly most_known_red=3
+readonly max_known_red=3
 readonly totals_file=build/test-totals.txt
 mkdir -p build
 rm -f "$totals_file"
@@ -22,13 +22,13 @@
   [ ! -f KNOWN-RED.txt ] || sed -n 's/[[:space:]]*|.*//; /[^[:space:]]/p' KNOWN-RED.txt
 }
 
-# A regular expression of ctest for exactly the tests of these names.
+# A regular expression for ctest that matches exactly the tests of these names.
 pattern_of() {
   sed 's/[][().*+?^$\\{}|]/\\&/g' <<< "$1" | paste -sd '|' | sed 's/.*/^(&)$/'
 }
 
 check_names() {
-  [ "$(wc -l <<< "$1")" -le "$most_known_red" ] || fail "more than $most_known_red lines"
+  [ "$(wc -l <<< "$1")" -le "$max_known_red" ] || fail "more than $max_known_red lines"
   ctest --preset release -N | sed -n 's/^ *Test *#[0-9]*: //p' > "$logs/names"
   local name
   while read -r name; do
@@ -36,7 +36,7 @@
   done <<< "$1"
 }
 
-# Adds up the totals of all runs; of each the last ones count: tests may print lines like ctest's.
+# Adds up the totals of all runs. The last totals of a run count, since tests may print similar lines.
 print_totals() {
   awk '
     function add() {
--- a/scripts/view-ages.py
+++ b/scripts/view-ages.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Prints how late each node learnt of changes, from a run's logs of all nodes.
+"""Prints the delay with which each node received changes, from the logs of all nodes of a run.
 
     scripts/view-ages.py [--worst N] [--from S] [--until S] LOG
 
 LOG has lines "SECONDS NODE {json}", as the platform's day player prints them with the logs of all
-nodes. A change is late by the time since the first node that had it. Nodes that had just started, or
-that knew the change from a whole view, don't count. Also prints the oldest view by which a flow was
-placed, for each second.
+nodes. The delay of a change is the time since the first node that logged it. Nodes that had just started,
+or that received the change with a full view, don't count. Also prints the age of the oldest view by
+which a flow was placed, for each second.
 """
 import argparse
 import collections
@@ -18,7 +18,7 @@
 
 
 def read(path):
-    """@return for each line of a log its time, node and fields."""
+    """@return time, node and fields of each line of a log."""
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
             found = LINE.match(line)
--- a/tests/scripts/run_tests_test.sh
+++ b/tests/scripts/run_tests_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# scripts/run-tests.sh and .ci/run against stand-ins of ctest and make. Usage: run_tests_test.sh SOURCE_FOLDER
+# scripts/run-tests.sh and .ci/run against fakes of ctest and make. Usage: run_tests_test.sh SOURCE_FOLDER
 set -euo pipefail
 source_folder=$1
 tree=$(mktemp -d)
@@ -9,8 +9,8 @@
 cp "$source_folder/.ci/run" "$tree/.ci/"
 printf '#!/usr/bin/env bash\n' > "$tree/.ci/check-platform-names"
 
-# Knows the tests "one", "two (2)" and "three", of which $FAILING fail and "three" is skipped where
-# $SKIPPING is set; a test's own output holds a line like ctest's.
+# Has the tests "one", "two (2)" and "three", of which $FAILING fails and "three" is skipped if
+# $SKIPPING is set; its output contains a line of a test that looks like ctest's totals.
 cat > "$tree/bin/ctest" << 'EOF'
 #!/usr/bin/env bash
 all=$'one\ntwo (2)\nthree'
@@ -34,7 +34,7 @@
 fi
 [ "$failed" -eq 0 ]
 EOF
-# Fails where its target is $FAILING_TARGET.
+# Fails if its target is $FAILING_TARGET.
 cat > "$tree/bin/make" << 'EOF'
 #!/usr/bin/env bash
 [ "$1" != test ] || bash scripts/run-tests.sh || exit
@@ -46,7 +46,7 @@
 # The script under test.
 script=scripts/run-tests.sh
 
-# Usage: run CASE STATUS LAST_LINE CALLS [VARIABLE=VALUE...]; known-red lines come by stdin.
+# Usage: run CASE STATUS LAST_LINE CALLS [VARIABLE=VALUE...]; known-red lines are read from stdin.
 run() {
   local name=$1 status=$2 last_line=$3 calls=$4
   shift 4
